--- a/calicofall/fleet/large_answers.py
+++ b/calicofall/fleet/large_answers.py
@@ -40,7 +40,7 @@
         if not is_large:
             return None
         self.ms_per_byte.add(now_ms, took_ms / size_bytes)
-        baseline = self.ms_per_byte.shortest(now_ms, MIN_LARGE_ANSWERS, self.baseline_ms_per_byte)
+        baseline = self.ms_per_byte.shortest_mean(now_ms, MIN_LARGE_ANSWERS, self.baseline_ms_per_byte)
         self.baseline_ms_per_byte = baseline
         return took_ms <= SLOW_FACTOR * baseline * size_bytes if baseline else None
 
--- a/calicofall/recording/recording_router.py
+++ b/calicofall/recording/recording_router.py
@@ -12,7 +12,7 @@
 from calicofall.recording import events, router_access
 from calicofall.recording.pseudonymizer import Naming, NoPseudonyms, pseudonymized_settings
 from calicofall.routing.actions import stored_action
-from calicofall.routing.endpoint import Place
+from calicofall.routing.endpoint import PlacementConstraint
 from calicofall.routing.endpoint_table import ListEntry
 from calicofall.routing.request import Request
 from calicofall.routing.router import Router
@@ -87,7 +87,7 @@
         if not isinstance(self._naming, NoPseudonyms):
             router_access.observe_rankings(self, self._record_ranking)
 
-    def _record_ranking(self, key: int, place: Place, endpoints: list[str]) -> None:
+    def _record_ranking(self, key: int, place: PlacementConstraint, endpoints: list[str]) -> None:
         names = [sorted(part) if part else None for part in place]
         self._record(events.KeyRanked(0.0, self._naming.key(key), names, endpoints))
 
--- a/calicofall/recording/replayer.py
+++ b/calicofall/recording/replayer.py
@@ -16,7 +16,7 @@
 from calicofall.recording import events, router_access
 from calicofall.recording.events import Event, RecordedDecision, decode_event
 from calicofall.routing.actions import stored_action
-from calicofall.routing.endpoint import Place
+from calicofall.routing.endpoint import PlacementConstraint
 from calicofall.routing.request import Request
 from calicofall.routing.router import Router
 
@@ -108,7 +108,7 @@
             restore_state(self.router, head["state"])
         self._slots = ReplayedSlots() if head.get("turns") else None
         self.router.origin_slots = self._slots  # type: ignore[assignment]  # answers the same calls
-        self._rankings: dict[tuple[int | None, Place], list[str]] = {}
+        self._rankings: dict[tuple[int | None, PlacementConstraint], list[str]] = {}
         if head.get("veiled"):
             router_access.use_rankings(self.router, self._rankings)
         self._stored: list[Any] = []  # the event that is played, as stored
--- a/calicofall/recording/router_access.py
+++ b/calicofall/recording/router_access.py
@@ -9,19 +9,19 @@
 from typing import Any
 
 from calicofall.recording.events import RecordedDecision
-from calicofall.routing.endpoint import ANY_PLACE, Endpoint, Place
+from calicofall.routing.endpoint import UNCONSTRAINED, Endpoint, PlacementConstraint
 from calicofall.routing.request import Request
 from calicofall.routing.router import Router
 
 HOLD_AFTER_DIFFERENCE_MS = 15.0  # until the next look at a request that the record lets wait
 
 
-def observe_rankings(router: Router, observe: Callable[[int, Place, list[str]], None]) -> None:
+def observe_rankings(router: Router, observe: Callable[[int, PlacementConstraint, list[str]], None]) -> None:
     """Calls `observe` with key, place and endpoints whenever the router ranks endpoints for a key anew."""
     placement = router.policy.placement
     ranking = placement.ranking
 
-    def observed(key: int, place: Place = ANY_PLACE) -> list[Endpoint]:
+    def observed(key: int, place: PlacementConstraint = UNCONSTRAINED) -> list[Endpoint]:
         is_new = (key, place) not in placement.rankings
         found = ranking(key, place)
         if is_new:
@@ -31,13 +31,15 @@
     placement.ranking = observed
 
 
-def use_rankings(router: Router, recorded: Mapping[tuple[int | None, Place], list[str]]) -> None:
+def use_rankings(
+    router: Router, recorded: Mapping[tuple[int | None, PlacementConstraint], list[str]]
+) -> None:
     """Lets a router use recorded rankings: names of endpoints by key and place, which may be added later."""
     endpoints = router.policy.endpoints
     placement = router.policy.placement
     ranking = placement.ranking
 
-    def recalled(key: int, place: Place = ANY_PLACE) -> list[Endpoint]:
+    def recalled(key: int, place: PlacementConstraint = UNCONSTRAINED) -> list[Endpoint]:
         names = recorded.get((key, place))
         if (key, place) not in placement.rankings and names is not None:
             known = [endpoints.caches[name] for name in names if name in endpoints.caches]
@@ -66,7 +68,7 @@
         return
     router.active_requests[request.id] = request
     if endpoint is None:
-        router._hold(now, request, HOLD_AFTER_DIFFERENCE_MS)
+        router._schedule_wait(now, request, HOLD_AFTER_DIFFERENCE_MS)
 
 
 def forget_waits(router: Router, request: Request) -> None:
@@ -78,8 +80,8 @@
     """A router in a few figures: of each limit what is in flight and the limit itself."""
     policy = router.policy
     return {
-        "fleet": [round(policy.fleet.held, 3), round(policy.fleet.value, 3)],
-        "origin": [round(policy.origin.held, 3), round(policy.origin.value, 3)],
+        "fleet": [round(policy.fleet_limit.in_flight, 3), round(policy.fleet_limit.value, 3)],
+        "origin": [round(policy.origin_limit.in_flight, 3), round(policy.origin_limit.value, 3)],
         "caches": len(policy.placement.usable),
         "in_hand": len(router.active_requests),
     }
@@ -89,4 +91,4 @@
     """By endpoint of a request's key, the fraction of its requests that it is sent; None without a key."""
     if request.key is None:
         return None
-    return {endpoint.name: round(endpoint.trickle(now), 4) for endpoint in router.ranking(request)}
+    return {endpoint.name: round(endpoint.current_fraction(now), 4) for endpoint in router.ranking(request)}
--- a/calicofall/routing/attempt_observer.py
+++ b/calicofall/routing/attempt_observer.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from calicofall.routing.endpoint import Endpoint
-from calicofall.routing.knowledge import Knowledge
+from calicofall.routing.knowledge import SharedComponents
 from calicofall.routing.latency import MIN_LATENCY_RATIO
 from calicofall.routing.limits import Limits
 from calicofall.routing.outlier_detection import OutlierDetector
@@ -41,29 +41,29 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        shared: SharedComponents,
         limits: Limits,
         retries: RetryPolicy,
         slow_start: SlowStart,
         outliers: OutlierDetector,
     ) -> None:
         """Holds no state of its own: the parts it is given do."""
-        self._settings = knowledge.settings
-        self._deployment = knowledge.deployment
-        self._endpoints = knowledge.endpoints
-        self._placement = knowledge.placement
+        self._settings = shared.settings
+        self._deployment = shared.deployment
+        self._endpoints = shared.endpoints
+        self._placement = shared.placement
         self._slow_start = slow_start
         self._outliers = outliers
         self._limits = limits
-        self._latency = knowledge.latency
-        self._zone_latency = knowledge.zone_latency
-        self._cached_keys = knowledge.cached_keys
-        self._fetch_likelihood = knowledge.fetch_likelihood
-        self._capacity = knowledge.capacity
-        self._traffic = knowledge.traffic
+        self._latency = shared.latency
+        self._zone_latency = shared.zone_latency
+        self._cached_keys = shared.cached_keys
+        self._fetch_likelihood = shared.fetch_likelihood
+        self._capacity = shared.capacity
+        self._traffic = shared.traffic
         self._retries = retries
-        self._slow_readers = knowledge.slow_readers
-        self._gossip = knowledge.gossip
+        self._slow_readers = shared.slow_readers
+        self._gossip = shared.gossip
 
     def observe(
         self,
@@ -89,7 +89,7 @@
         endpoint = self._endpoints.cache(attempt.endpoint)
         if outcome is None or endpoint is None:
             return
-        usual = self._latency.of(request.method)
+        usual = self._latency.baseline_ms(request.method)
         own = self._slow_readers.endpoint_latency(endpoint.name, outcome, latency_ms, note == FETCHED)
         if own is None:
             return
@@ -108,7 +108,7 @@
         )
         self._learn_of_any(now, result)
         if outcome == AttemptOutcome.MISSED:
-            usual = self._latency.of(None)
+            usual = self._latency.baseline_ms(None)
         self._note_wait(now, result, there, usual, report)
         self._learn(now, result, note)
 
@@ -140,18 +140,18 @@
             queued = report.get(QUEUE_FIELD)
         if served and queued is not None:
             most = 2.0 * self._settings.latency_objective_ms
-            self._gossip.note_wait(now, result.endpoint, max(0.0, min(1000.0 * queued / served, most)))
+            self._gossip.record_wait(now, result.endpoint, max(0.0, min(1000.0 * queued / served, most)))
         elif result.outcome in TIMED and usual and not result.fetched:
             wait = max(0.0, there - usual / self._capacity.of(result.endpoint))
-            self._gossip.note_wait(now, result.endpoint, wait)
+            self._gossip.record_wait(now, result.endpoint, wait)
 
     def _learn(self, now: float, result: AttemptResult, note: str | None) -> None:
         outcome = result.outcome
         if outcome == AttemptOutcome.COMPLETED:
             self._on_completed(now, result, note)
         elif outcome == AttemptOutcome.FULL:
-            self._limits.fleet.latencies.add(now, FULL_RELATIVE_LATENCY)
-            self._gossip.note_wait(now, result.endpoint, self._settings.latency_objective_ms)
+            self._limits.fleet_limit.relative_latencies.add(now, FULL_RELATIVE_LATENCY)
+            self._gossip.record_wait(now, result.endpoint, self._settings.latency_objective_ms)
         elif outcome == AttemptOutcome.ERROR:
             if not self._retries.fails_everywhere(now, result.request, result.latency_ms):
                 self._on_failed(now, result)
@@ -168,13 +168,13 @@
         if result.fetched:  # a slow origin is not the cache's fault: such an answer is measured apart
             self._latency.add_fetch(now, result.latency_ms)
             slow = self._latency.relative_to_fetch(result.latency_ms)
-            most = 2 * self._limits.origin.tolerance if self._traffic.low else MAX_RELATIVE_LATENCY
+            most = 2 * self._limits.origin_limit.tolerance if self._traffic.low else MAX_RELATIVE_LATENCY
             self._on_origin_latency(now, endpoint, min(slow, most), 1.0)
         elif note != FETCHING:
             self._latency.add(now, request.method, result.latency_ms)
             self._on_latency(now, result)
         if request.write:
-            self._cached_keys.invalidate(request.key, self._placement.holders_of(request.key))
+            self._cached_keys.invalidate(request.key, self._placement.possible_holders(request.key))
         elif request.key is not None:
             self._cached_keys.add(endpoint.name, request.key)
 
@@ -206,23 +206,23 @@
             self._on_origin_latency(now, result.endpoint, FAILED_FETCH_LATENCY, 1.0)
             return
         # Else, in a large fleet without a baseline, few endpoints' queues would tell most.
-        known = self._latency.of(result.request.method) or not self._deployment.large_fleet
+        known = self._latency.baseline_ms(result.request.method) or not self._deployment.large_fleet
         if low and known:
             self._on_origin_latency(now, result.endpoint, FAILED_FETCH_LATENCY, probability)
 
     def _on_origin_latency(self, now: float, endpoint: Endpoint, relative: float, probability: float) -> None:
         # An endpoint with a queue of its own would pass for a slow origin.
         if self._traffic.low and (
-            endpoint.relative_latency > CROWDED_LATENCY * self._outliers.common_latency
+            endpoint.relative_latency > CROWDED_LATENCY * self._outliers.fleet_relative_latency
             or self._slow_start.is_warming_up(now, endpoint)
         ):
             return
-        self._limits.origin.latencies.add(now, relative * probability, probability)
+        self._limits.origin_limit.relative_latencies.add(now, relative * probability, probability)
 
     def _on_latency(self, now: float, result: AttemptResult, impatient: bool = False) -> None:
         endpoint = result.endpoint
         # A few slow endpoints would shrink the limit for all.
-        if endpoint.trickle(now) >= HALF:
-            fleet = self._limits.fleet
-            fleet.latencies.add(now, min(result.relative_latency, 2.0 * fleet.tolerance))
+        if endpoint.current_fraction(now) >= HALF:
+            fleet = self._limits.fleet_limit
+            fleet.relative_latencies.add(now, min(result.relative_latency, 2.0 * fleet.tolerance))
         self._outliers.on_latency(now, endpoint, result.relative_latency, result.sent_at, impatient)
--- a/calicofall/routing/cached_keys.py
+++ b/calicofall/routing/cached_keys.py
@@ -20,7 +20,7 @@
     def __init__(self, now: float) -> None:
         """Nothing is known to be cached."""
         self.holders: list[set[tuple[int | None, str]]] = [set(), set()]  # (key, endpoint); newer, older
-        self.turn_at = now + HOLD_SPAN_MS
+        self.rotate_at = now + HOLD_SPAN_MS
 
     def holds(self, endpoint: str, key: int | None) -> bool:
         """Whether the endpoint was lately seen to hold the key."""
@@ -45,10 +45,10 @@
 
     def rotate_if_due(self, now: float) -> bool:
         """Forgets what is older than a span; whether it was time to."""
-        if now < self.turn_at:
+        if now < self.rotate_at:
             return False
         self.holders = [set(), self.holders[0]]
-        self.turn_at = now + HOLD_SPAN_MS
+        self.rotate_at = now + HOLD_SPAN_MS
         return True
 
 
@@ -103,5 +103,6 @@
     def update(self, now: float) -> None:
         """Measures anew."""
         self.likelihood = [
-            window.recent(now, MIN_SAMPLES, 10_000.0) or UNKNOWN_FETCH_LIKELIHOOD for window in self.windows
+            window.recent_mean(now, MIN_SAMPLES, 10_000.0) or UNKNOWN_FETCH_LIKELIHOOD
+            for window in self.windows
         ]
--- a/calicofall/routing/concurrency_limit.py
+++ b/calicofall/routing/concurrency_limit.py
@@ -25,17 +25,17 @@
     __slots__ = (
         "decreased_at",
         "floor",
-        "held",
-        "latencies",
+        "in_flight",
+        "relative_latencies",
         "min_samples",
         "relative_growth",
         "root_growth",
-        "short",
-        "spare",
+        "capacity_denied",
+        "unused_capacity",
         "tolerance",
-        "turn",
+        "next_start_at",
         "updated_at",
-        "used_at",
+        "usage_updated_at",
         "value",
         "window_ms",
     )
@@ -55,50 +55,53 @@
         self.value = 1.0
         self.floor = 1.0
         self.tolerance = 2.5  # relative latency above which the limit shrinks
-        self.held = 0.0  # requests in flight, each by the likelihood that it counts
-        self.short = False  # a request found no room since the last update
+        self.in_flight = 0.0  # requests in flight, each by the likelihood that it counts
+        self.capacity_denied = False  # a request found no room since the last update
         self.root_growth = 0.5 / sqrt(proxies)  # all proxies together grow by half the root of what all have
-        self.spare = 0.0  # lately unused (requests in flight times ms)
-        self.used_at = now
-        self.turn = 0.0  # when the next request may go, where another part rations them
-        self.latencies = SlidingWindow(
+        self.unused_capacity = 0.0  # lately unused (requests in flight times ms)
+        self.usage_updated_at = now
+        self.next_start_at = 0.0  # when the next request may go, where another part rations them
+        self.relative_latencies = SlidingWindow(
             LATENCY_WINDOWS * window_ms, LATENCY_BUCKETS
         )  # relative to the baseline
         self.decreased_at = 0.0
         self.updated_at = 0.0
 
-    def acquire(self, now: float, count: float) -> None:
+    def add_in_flight(self, now: float, count: float) -> None:
         """Counts so many requests as in flight from now on; a negative count releases them."""
         most = self.value * MEAN_SPAN_MS
-        self.spare = max(-most, min(most, self.spare + (self.value - self.held) * (now - self.used_at)))
-        self.held += count
-        self.used_at = now
+        self.unused_capacity = max(
+            -most,
+            min(most, self.unused_capacity + (self.value - self.in_flight) * (now - self.usage_updated_at)),
+        )
+        self.in_flight += count
+        self.usage_updated_at = now
 
     def has_capacity(self, now: float, fraction: float) -> bool:
         """Whether one more request fits into this fraction of the limit."""
-        self.acquire(now, 0.0)
+        self.add_in_flight(now, 0.0)
         # Where few are in flight on average, two at once happen by chance and are no overload.
         most = max(1.0, self.value * fraction + min(self.value, BURST))
-        return self.held < most and self.spare > (1 - fraction) * self.value * MEAN_SPAN_MS
+        return self.in_flight < most and self.unused_capacity > (1 - fraction) * self.value * MEAN_SPAN_MS
 
     def request_capacity(self, now: float, fraction: float) -> bool:
         """Whether one more fits, as `has_capacity`; one that does not is a reason to grow."""
         free = self.has_capacity(now, fraction)
-        self.short = not free or self.short
+        self.capacity_denied = not free or self.capacity_denied
         return free
 
     def may_start(self, now: float, fraction: float) -> bool:
         """Whether a request may start now: its turn has come, and there is capacity for it."""
-        return now >= self.turn and self.request_capacity(now, fraction)
+        return now >= self.next_start_at and self.request_capacity(now, fraction)
 
     def start_from(self, value: float, chance: Random) -> None:
         """Begins from an estimated limit, with its burst unused; one below 1 has a random part of it."""
         self.value = value
-        self.spare = value * MEAN_SPAN_MS * (1.0 if value >= 1 else chance.random())
+        self.unused_capacity = value * MEAN_SPAN_MS * (1.0 if value >= 1 else chance.random())
 
     def update(self, now: float) -> None:
         """Shrinks the limit where latencies are too long, lets it grow where requests found no room."""
-        mean = self.latencies.recent(now, self.min_samples, self.window_ms)
+        mean = self.relative_latencies.recent_mean(now, self.min_samples, self.window_ms)
         since = now - self.decreased_at
         tolerance = self.tolerance
         before = self.value
@@ -106,8 +109,10 @@
             self.value = self.value * max(0.5, tolerance / mean)
             self.decreased_at = now
             # Without this the same answers would shrink it again.
-            self.latencies = SlidingWindow(LATENCY_WINDOWS * self.window_ms, LATENCY_BUCKETS)
-        elif self.short and (mean <= tolerance if mean is not None else since >= 2.0 * self.window_ms):
+            self.relative_latencies = SlidingWindow(LATENCY_WINDOWS * self.window_ms, LATENCY_BUCKETS)
+        elif self.capacity_denied and (
+            mean <= tolerance if mean is not None else since >= 2.0 * self.window_ms
+        ):
             # A proxy with a small part finds its place the faster, the shorter its answers are.
             step = self.root_growth * sqrt(self.value) + self.relative_growth * self.value * (
                 tolerance / (mean or tolerance) - 1
@@ -115,6 +120,6 @@
             self.value += step * min(4.0, (now - self.updated_at) / UPDATE_INTERVAL_MS)
         self.value = max(self.floor, self.value)
         # Without this a limit runs away: what it has grown by would itself look like a want of room.
-        self.spare *= self.value / before
-        self.short = False
+        self.unused_capacity *= self.value / before
+        self.capacity_denied = False
         self.updated_at = now
--- a/calicofall/routing/endpoint.py
+++ b/calicofall/routing/endpoint.py
@@ -7,8 +7,8 @@
 from calicofall.routing.sliding_window import SlidingWindow
 
 # The zones and kinds of machines that a method is bound to; None: any.
-Place = tuple[frozenset[str] | None, frozenset[str] | None]
-ANY_PLACE: Place = (None, None)
+PlacementConstraint = tuple[frozenset[str] | None, frozenset[str] | None]
+UNCONSTRAINED: PlacementConstraint = (None, None)
 
 SENT_SPAN_MS = 60_000.0  # requests sent to an endpoint are counted over this time
 SENT_BUCKETS = 6
@@ -37,7 +37,7 @@
         "ejected",
         "fraction_set_at",
         "gossip_id",
-        "held",
+        "in_flight",
         "kind",
         "last_heard_at",
         "listed_start",
@@ -50,7 +50,7 @@
         "started_at",
         "wait_count",
         "wait_sum",
-        "waits_noted_at",
+        "waits_updated_at",
         "warming_requests",
         "weight",
         "zone",
@@ -67,7 +67,7 @@
         self.cell = 0
         self.zone = ""
         self.kind = ""
-        self.held = 0  # requests in flight
+        self.in_flight = 0  # requests in flight
         self.last_heard_at = 0.0
         self.draining = False  # last listed as draining
         self.sent = SlidingWindow(SENT_SPAN_MS, SENT_BUCKETS)
@@ -79,10 +79,10 @@
         self.relative_latency = 1.0  # to the baseline
         self.wait_count = 0.0  # answers lately, ours and peers', faded
         self.wait_sum = 0.0  # their waits (ms), faded
-        self.waits_noted_at = 0.0
+        self.waits_updated_at = 0.0
         self.gossip_id = hash_point(name.encode()) & 0xFFFFFF  # how messages between proxies name it
 
-    def is_within(self, place: Place) -> bool:
+    def satisfies(self, place: PlacementConstraint) -> bool:
         """Whether it stands in one of the place's zones and is of one of its kinds."""
         zones, kinds = place
         return self.zone in (zones or {self.zone}) and self.kind in (kinds or {self.kind})
@@ -93,19 +93,19 @@
         self.ejected = False
         self.relative_latency = 1.0
 
-    def note_wait(self, now: float, wait_ms: float) -> None:
+    def record_wait(self, now: float, wait_ms: float) -> None:
         """Counts how long a request waited there."""
-        fade = exp((self.waits_noted_at - now) / WAIT_FADE_MS)
+        fade = exp((self.waits_updated_at - now) / WAIT_FADE_MS)
         self.wait_count = self.wait_count * fade + 1.0
         self.wait_sum = self.wait_sum * fade + wait_ms
-        self.waits_noted_at = now
+        self.waits_updated_at = now
 
     def mean_wait_ms(self, now: float) -> float:
         """How long requests waited there lately (ms), by all that is known here."""
-        fade = exp((self.waits_noted_at - now) / WAIT_FADE_MS)
+        fade = exp((self.waits_updated_at - now) / WAIT_FADE_MS)
         return self.wait_sum * fade / (self.wait_count * fade + WAIT_PRIOR_COUNT)
 
-    def trickle(self, now: float) -> float:
+    def current_fraction(self, now: float) -> float:
         """The fraction of what it owns that it is sent now: it doubles while nothing speaks against it."""
         if self.admitted_fraction >= 1.0:
             return 1.0
--- a/calicofall/routing/endpoint_table.py
+++ b/calicofall/routing/endpoint_table.py
@@ -46,7 +46,7 @@
                 gone.append(endpoint)
             self._update(now, endpoint, entry, endpoint in known)
         self._keep_unless_drained(gone, len(known))
-        self.caches = {name: one for name, one in self.caches.items() if one.ready or one.held}
+        self.caches = {name: one for name, one in self.caches.items() if one.ready or one.in_flight}
         self.direct_origin = next((origin for origin in self.origins.values() if origin.ready), None)
 
     def _endpoint_of(self, entry: ListEntry) -> Endpoint:
@@ -79,4 +79,4 @@
         """Where draining alone takes endpoints out, a list that calls most of them gone is not believed."""
         gone = [endpoint for endpoint in gone if not endpoint.ready and not endpoint.draining]
         for endpoint in gone:
-            endpoint.ready = self._settings.draining_alone and 2 * len(gone) > known
+            endpoint.ready = self._settings.removal_requires_draining and 2 * len(gone) > known
--- a/calicofall/routing/gossip_exchange.py
+++ b/calicofall/routing/gossip_exchange.py
@@ -25,42 +25,44 @@
         talks = deployment["caps"].get("peer_messages")
         self._outbox = outbox
         self.interval_ms: float = MIN_INTERVAL_MS * max(1.0, PRICE_FACTOR * (costs.get("peer") or 0.0))
-        self.peers = proxy_count(deployment) - 1 if talks else 0
-        self.me: int = deployment.get("me") or 0
-        self.tell_at = now
-        self.pending: dict[int, tuple[float, int]] = {}  # by gossip id: waits since the last message, count
+        self.peer_count = proxy_count(deployment) - 1 if talks else 0
+        self.own_number: int = deployment.get("me") or 0
+        self.next_send_at = now
+        self.pending_waits: dict[
+            int, tuple[float, int]
+        ] = {}  # by gossip id: waits since the last message, count
         self.arrivals = SlidingWindow(4_000.0, 8)  # clients' first tries here
-        self.rates: dict[int, tuple[float, int]] = {}  # by peer: when it told, its requests
+        self.peer_requests: dict[int, tuple[float, int]] = {}  # by peer: when it told, its requests
 
     def count_request(self, now: float, client_retry: bool) -> None:
         """Counts a request that came; repeats would look like a larger part of the clients."""
         self.arrivals.add(now, count=not client_retry)
 
-    def note_wait(self, now: float, endpoint: Endpoint, wait_ms: float) -> None:
+    def record_wait(self, now: float, endpoint: Endpoint, wait_ms: float) -> None:
         """A request waited at an endpoint: known here, and to be told."""
-        endpoint.note_wait(now, wait_ms)
-        if self.peers:
-            total, count = self.pending.get(endpoint.gossip_id, (0.0, 0))
-            self.pending[endpoint.gossip_id] = total + wait_ms, count + 1
+        endpoint.record_wait(now, wait_ms)
+        if self.peer_count:
+            total, count = self.pending_waits.get(endpoint.gossip_id, (0.0, 0))
+            self.pending_waits[endpoint.gossip_id] = total + wait_ms, count + 1
 
-    def tell_if_due(self, now: float, chance: Random) -> None:
+    def send_if_due(self, now: float, chance: Random) -> None:
         """Tells a few peers, drawn anew: together they hear of every endpoint, and none hears all."""
-        if not (self.peers and self.pending and now >= self.tell_at):
+        if not (self.peer_count and self.pending_waits and now >= self.next_send_at):
             return
-        self.tell_at = now + self.interval_ms * chance.uniform(0.7, 1.3)
-        waits = [(mark, total / count) for mark, (total, count) in self.pending.items()]
+        self.next_send_at = now + self.interval_ms * chance.uniform(0.7, 1.3)
+        waits = [(mark, total / count) for mark, (total, count) in self.pending_waits.items()]
         message = encode_hint(int(self.arrivals.count(now)), waits)
-        self.pending = {}
-        for peer in [chance.randrange(self.peers) for _ in range(min(FANOUT, self.peers))]:
-            self._outbox.add(SendGossip(peer + (peer >= self.me), message))
+        self.pending_waits = {}
+        for peer in [chance.randrange(self.peer_count) for _ in range(min(FANOUT, self.peer_count))]:
+            self._outbox.add(SendGossip(peer + (peer >= self.own_number), message))
 
     def receive(self, now: float, peer: int, message: bytes) -> list[tuple[int, float]]:
         """A hint from a peer, which may be late, lost, doubled or mangled: waits (ms) by gossip id."""
-        rate, waits = decode_hint(message) if self.peers else (None, [])
+        rate, waits = decode_hint(message) if self.peer_count else (None, [])
         if rate is not None:
-            self.rates[peer] = now, rate
+            self.peer_requests[peer] = now, rate
         return waits
 
-    def peer_rates(self, now: float) -> list[float]:
+    def peer_request_counts(self, now: float) -> list[float]:
         """What peers told lately of the requests that came to them."""
-        return [rate for told_at, rate in self.rates.values() if now - told_at < RATE_BELIEVED_MS]
+        return [rate for told_at, rate in self.peer_requests.values() if now - told_at < RATE_BELIEVED_MS]
--- a/calicofall/routing/knowledge.py
+++ b/calicofall/routing/knowledge.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Knowledge:
+class SharedComponents:
     """The parts that hold settings and measures, and where actions go."""
 
     settings: RoutingSettings
--- a/calicofall/routing/latency.py
+++ b/calicofall/routing/latency.py
@@ -28,18 +28,18 @@
         }
         self.baselines: dict[str | None, float | None] = dict.fromkeys(self.windows)
         self.fetches = SlidingWindow(WINDOW_MS, WINDOW_BUCKETS)
-        self.fetch_ms: float = latency_objective_ms / 2
-        self.slowest_ms = inf  # the longest baseline of a method
+        self.fetch_baseline_ms: float = latency_objective_ms / 2
+        self.longest_baseline_ms = inf  # the longest baseline of a method
 
-    def of(self, method: str | None) -> float | None:
+    def baseline_ms(self, method: str | None) -> float | None:
         """The baseline of a method; of misses for None. None where it was not measured yet."""
         return self.baselines.get(method)
 
-    def known(self) -> dict[str, float]:
+    def measured(self) -> dict[str, float]:
         """All baselines that were measured, by method."""
         return {name: value for name, value in self.baselines.items() if name and value}
 
-    def any_known(self) -> bool:
+    def any_measured(self) -> bool:
         """Whether any baseline was measured."""
         return any(self.baselines.values())
 
@@ -53,23 +53,23 @@
 
     def relative_to_fetch(self, latency_ms: float) -> float:
         """A latency as a multiple of a fetch's baseline."""
-        return latency_ms / max(self.fetch_ms, 1.0)
+        return latency_ms / max(self.fetch_baseline_ms, 1.0)
 
     def update(self, now: float, latency_objective_ms: float) -> None:
         """Measures the baselines anew."""
         for name, window in self.windows.items():
-            self.baselines[name] = window.shortest(now, BASELINE_MIN_SAMPLES, self.baselines[name])
-        self.fetch_ms = self.fetches.shortest(now, BASELINE_MIN_SAMPLES, self.fetch_ms)
+            self.baselines[name] = window.shortest_mean(now, BASELINE_MIN_SAMPLES, self.baselines[name])
+        self.fetch_baseline_ms = self.fetches.shortest_mean(now, BASELINE_MIN_SAMPLES, self.fetch_baseline_ms)
         shortest = MIN_LATENCY_RATIO * latency_objective_ms
-        self.slowest_ms = max([1.0, *(max(one, shortest) for one in self.baselines.values() if one)])
+        self.longest_baseline_ms = max([1.0, *(max(one, shortest) for one in self.baselines.values() if one)])
 
-    def restore(self, known: Mapping[str, float], fetch_ms: float | None) -> None:
+    def restore(self, known: Mapping[str, float], fetch_baseline_ms: float | None) -> None:
         """Begins from baselines of a former life."""
-        if fetch_ms is not None:
-            self.fetch_ms = fetch_ms
+        if fetch_baseline_ms is not None:
+            self.fetch_baseline_ms = fetch_baseline_ms
         self.baselines.update({name: value for name, value in known.items() if name in self.baselines})
 
-    def alias(self, method: str, alias: str) -> None:
+    def add_alias(self, method: str, alias: str) -> None:
         """A method is measured under another name, too."""
         self.windows[alias] = self.windows[method]
         self.baselines[alias] = self.baselines[method]
--- a/calicofall/routing/limits.py
+++ b/calicofall/routing/limits.py
@@ -34,9 +34,9 @@
         self._latency = latency
         window = min(MAX_WINDOW_MS, 2.0 * settings.latency_objective_ms)  # in which an overload builds up
         origin_samples = LOOK_ASIDE_ORIGIN_MIN_SAMPLES if deployment.look_aside else MIN_SAMPLES
-        self.fleet = ConcurrencyLimit(now, deployment.proxies, MIN_SAMPLES, window)
-        self.origin = ConcurrencyLimit(now, deployment.proxies, origin_samples, window)
-        self.full_origin_floor = 0.0
+        self.fleet_limit = ConcurrencyLimit(now, deployment.proxies, MIN_SAMPLES, window)
+        self.origin_limit = ConcurrencyLimit(now, deployment.proxies, origin_samples, window)
+        self.max_origin_floor = 0.0
         self.overloaded = False
 
     def on_endpoint_count(self, count: int) -> None:
@@ -46,17 +46,17 @@
         """
         share = self._share(count)
         floor = ORIGIN_FLOOR * share
-        self.origin.floor = min(self.origin.floor, floor) if self.full_origin_floor else floor
-        self.fleet.floor = FLEET_FLOOR * share
-        self.full_origin_floor = floor
+        self.origin_limit.floor = min(self.origin_limit.floor, floor) if self.max_origin_floor else floor
+        self.fleet_limit.floor = FLEET_FLOOR * share
+        self.max_origin_floor = floor
 
     def start(self, count: int, chance: Random) -> None:
         """Begins from so many endpoints, before anything was measured."""
         share = self._share(count)
         # Without this bound, all proxies' first fetches together would overload the origin behind the caches.
         bound = ORIGIN_START * share if self._deployment.look_aside else max(share, FIRST_FETCHES)
-        self.fleet.start_from(FLEET_START * share, chance)
-        self.origin.start_from(min(ORIGIN_START * share, bound), chance)
+        self.fleet_limit.start_from(FLEET_START * share, chance)
+        self.origin_limit.start_from(min(ORIGIN_START * share, bound), chance)
 
     def _share(self, count: int) -> float:
         return max(1, count) / self._deployment.proxies
@@ -64,29 +64,31 @@
     def admits(self, now: float, limit: ConcurrencyLimit, request: Request, low_traffic: bool) -> bool:
         """Whether this request finds room: over its quota first out, then by least priority."""
         part = 0.8 if low_traffic else 0.5
-        if request.within_share:
+        if request.within_quota:
             part = 0.75 + 0.25 * self._settings.priority[request.method]
         return limit.may_start(now, part)
 
     def update(self, now: float) -> None:
         """Fits both limits to the latencies of late."""
-        self.fleet.update(now)
+        self.fleet_limit.update(now)
         # Floors of all proxies may add up to an overload, in which all fetches come too late.
-        latency = (self.origin.latencies.recent(now, 2, UPDATE_INTERVAL_MS) or 0.0) * self._latency.fetch_ms
+        latency = (
+            self.origin_limit.relative_latencies.recent_mean(now, 2, UPDATE_INTERVAL_MS) or 0.0
+        ) * self._latency.fetch_baseline_ms
         late = latency > self._settings.latency_objective_ms
         change = FLOOR_FALL if late and self._deployment.look_aside else FLOOR_RISE
-        floor = max(self.full_origin_floor / MIN_FLOOR_PART, self.origin.floor * change)
-        self.origin.floor = min(self.full_origin_floor, floor)
-        self.origin.update(now)
+        floor = max(self.max_origin_floor / MIN_FLOOR_PART, self.origin_limit.floor * change)
+        self.origin_limit.floor = min(self.max_origin_floor, floor)
+        self.origin_limit.update(now)
 
     def log_overload(self, now: float, relative_latency: float, outbox: Outbox) -> None:
         """Tells in the log when an overload begins, and when it is over."""
-        if self.overloaded == (0.0 < self.fleet.decreased_at > now - OVERLOAD_SPAN_MS):
+        if self.overloaded == (0.0 < self.fleet_limit.decreased_at > now - OVERLOAD_SPAN_MS):
             return
         self.overloaded = not self.overloaded
         outbox.log(
             f"overload {'begins' if self.overloaded else 'over'}: limit "
-            f"{self.fleet.value:.2f}, answers {relative_latency:.1f} of usual"
+            f"{self.fleet_limit.value:.2f}, answers {relative_latency:.1f} of usual"
         )
 
     def update_tolerances(self, traffic: Traffic) -> None:
@@ -95,10 +97,10 @@
         Answers and fetches have to leave time within the latency objective.
         """
         objective = self._settings.latency_objective_ms
-        slowest = self._latency.slowest_ms
-        self.fleet.tolerance = min(max(1.6, objective / 4.0 / slowest), 0.6 * objective / slowest)
+        slowest = self._latency.longest_baseline_ms
+        self.fleet_limit.tolerance = min(max(1.6, objective / 4.0 / slowest), 0.6 * objective / slowest)
         least, part = 1.6 if traffic.low else 1.2, 0.8
         if self._deployment.look_aside:
             least, part = 0.2, 0.5
-        useful = part * self._settings.useful_ms / self._latency.fetch_ms
-        self.origin.tolerance = min(2.5, max(least, useful))
+        useful = part * self._settings.max_useful_fetch_ms / self._latency.fetch_baseline_ms
+        self.origin_limit.tolerance = min(2.5, max(least, useful))
--- a/calicofall/routing/outlier_detection.py
+++ b/calicofall/routing/outlier_detection.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from calicofall.routing.endpoint import RECOVERY_DOUBLING_MS, Endpoint
-from calicofall.routing.knowledge import Knowledge
+from calicofall.routing.knowledge import SharedComponents
 from calicofall.routing.request import AttemptOutcome
 from calicofall.routing.sliding_window import SlidingWindow
 from calicofall.routing.slow_start import SlowStart
@@ -54,21 +54,21 @@
 class OutlierDetector:
     """Finds outliers among the endpoints, and decides by chance whether they are sent what they own."""
 
-    def __init__(self, knowledge: Knowledge, slow_start: SlowStart) -> None:
+    def __init__(self, shared: SharedComponents, slow_start: SlowStart) -> None:
         """Nothing is known of any endpoint."""
-        self._settings = knowledge.settings
-        self._deployment = knowledge.deployment
-        self._endpoints = knowledge.endpoints
-        self._placement = knowledge.placement
-        self._traffic = knowledge.traffic
-        self._capacity = knowledge.capacity
+        self._settings = shared.settings
+        self._deployment = shared.deployment
+        self._endpoints = shared.endpoints
+        self._placement = shared.placement
+        self._traffic = shared.traffic
+        self._capacity = shared.capacity
         self._slow_start = slow_start
-        self._latency = knowledge.latency
-        self._outbox = knowledge.outbox
-        self.common_latency = 1.0  # relative latency of all endpoints together
+        self._latency = shared.latency
+        self._outbox = shared.outbox
+        self.fleet_relative_latency = 1.0  # relative latency of all endpoints together
         self.resets = SlidingWindow(10_000.0, 10)  # the share of attempts that were reset
         # By zone: when it was last heard of, and the endpoints that were silent since.
-        self.zones: dict[str, list[Any]] = {}
+        self.zone_silence: dict[str, list[Any]] = {}
 
     def thresholds(self) -> Thresholds:
         """Those for the present traffic: with little of it, single answers have to do."""
@@ -76,15 +76,19 @@
 
     def heavily_degraded_count(self, now: float) -> int:
         """How many ready endpoints get an eighth of what they own at most."""
-        return sum(one.trickle(now) <= HEAVILY_DEGRADED_FRACTION for one in self._placement.endpoints())
+        return sum(
+            one.current_fraction(now) <= HEAVILY_DEGRADED_FRACTION for one in self._placement.endpoints()
+        )
 
     def degraded(self, now: float) -> set[str]:
         """Endpoints that are sent less than they own."""
-        return {one.name for one in self._placement.endpoints() if one.trickle(now) < 1.0}
+        return {one.name for one in self._placement.endpoints() if one.current_fraction(now) < 1.0}
 
     def ejected(self, now: float) -> list[str]:
         """Endpoints that get a quarter of what they own at most, in order of name."""
-        ejected = (one for one in self._placement.endpoints() if one.trickle(now) <= EJECTED_FRACTION)
+        ejected = (
+            one for one in self._placement.endpoints() if one.current_fraction(now) <= EJECTED_FRACTION
+        )
         return sorted(one.name for one in ejected)
 
     def eject(self, now: float, endpoint: Endpoint, factor: float, reason: str) -> None:
@@ -93,22 +97,24 @@
         if self._deployment.large_fleet and self._traffic.low:
             # Without this, hundreds of proxies would each try a crowded endpoint again so soon that it
             # answers none of them in time.
-            even = endpoint.sent.count(now) / max(1.0, self._traffic.even_count(now, endpoint))
+            even = endpoint.sent.count(now) / max(1.0, self._traffic.expected_count(now, endpoint))
         if self._slow_start.is_warming_up(now, endpoint):
             endpoint.recovery_doubling_ms = RECOVERY_DOUBLING_MS
         else:
             endpoint.recovery_doubling_ms = RECOVERY_DOUBLING_MS * min(MAX_RECOVERY_FACTOR, max(1.0, even))
-        fraction = min(1.0, endpoint.trickle(now)) * factor
+        fraction = min(1.0, endpoint.current_fraction(now)) * factor
         endpoint.admitted_fraction = max(self.thresholds().min_fraction, fraction)
         endpoint.fraction_set_at = now
         if endpoint.admitted_fraction <= EJECTED_FRACTION and not endpoint.ejected:
             endpoint.ejected = True
             if reason:
-                self._outbox.log(f"set aside {endpoint.name}: {reason}, peers {self.common_latency:.1f}")
+                self._outbox.log(
+                    f"set aside {endpoint.name}: {reason}, peers {self.fleet_relative_latency:.1f}"
+                )
 
     def eject_on_evidence(self, now: float, endpoint: Endpoint) -> None:
         """Other proxies found it to be an outlier: it is sent little at first."""
-        if endpoint.trickle(now) > CONSENSUS_FRACTION:
+        if endpoint.current_fraction(now) > CONSENSUS_FRACTION:
             endpoint.degrade(now, CONSENSUS_FRACTION, EJECTED_FRACTION)
 
     def restore(self, now: float, endpoint: Endpoint, fraction: float) -> None:
@@ -118,13 +124,15 @@
     def admits(self, now: float, endpoint: Endpoint, chance: Random) -> bool:
         """Whether an endpoint is sent what it owns: by chance, where something speaks against it."""
         # An endpoint that keeps what it gets and says nothing is found long before time-outs tell.
-        waiting = endpoint.held
+        waiting = endpoint.in_flight
         if waiting:
             silent = now - endpoint.last_heard_at
-            patience = (3.0 + 5.0 / waiting) * self._latency.fetch_ms  # one slow answer is no silence
+            patience = (
+                3.0 + 5.0 / waiting
+            ) * self._latency.fetch_baseline_ms  # one slow answer is no silence
             if silent > max(self._settings.latency_objective_ms, patience):
                 self.eject(now, endpoint, SILENT_FRACTION, f"silent for {silent:.0f} ms")
-        fraction = endpoint.trickle(now)
+        fraction = endpoint.current_fraction(now)
         if endpoint.admitted_fraction < 1.0 <= fraction:
             endpoint.reinstate()
         return fraction >= 1.0 or chance.random() < fraction
@@ -143,20 +151,23 @@
         """
         low = self._traffic.low
         thresholds = self.thresholds()
-        fraction = endpoint.trickle(now)
+        fraction = endpoint.current_fraction(now)
         self._capacity.add(now, endpoint, relative)
         # A healthy endpoint has a slow answer now and then, and a sick one a fast answer.
         smoothing = 1.0
         if not low:
             smoothing = SMOOTHING if fraction >= 1.0 else DEGRADED_SMOOTHING
         endpoint.relative_latency += (relative - endpoint.relative_latency) * smoothing
-        most = FREQUENT.eject_above if impatient else thresholds.eject_above * self.common_latency
+        most = FREQUENT.eject_above if impatient else thresholds.eject_above * self.fleet_relative_latency
         # What was sent before the last change belongs to one queue, which speaks once.
         if endpoint.relative_latency > most and sent_at >= endpoint.fraction_set_at:
             if low or self._few_are_slow_beside(endpoint):
                 reason = f"pace {endpoint.relative_latency:.1f}"
                 self.eject(now, endpoint, 1 / 4 if impatient else 1 / 2, reason)
-        elif fraction < 1.0 and endpoint.relative_latency < thresholds.recover_below * self.common_latency:
+        elif (
+            fraction < 1.0
+            and endpoint.relative_latency < thresholds.recover_below * self.fleet_relative_latency
+        ):
             endpoint.admitted_fraction = fraction * 2
             endpoint.fraction_set_at = now
 
@@ -167,7 +178,7 @@
 
     def on_outcome(self, now: float, endpoint: Endpoint, outcome: AttemptOutcome, sent_at: float) -> None:
         """Looks for a lost zone: its endpoints say nothing, and each is met too seldom to learn it."""
-        zone = self.zones.setdefault(endpoint.zone, [0.0, set()])
+        zone = self.zone_silence.setdefault(endpoint.zone, [0.0, set()])
         if outcome not in SILENT_OUTCOMES:
             zone[:] = now, set()
             return
@@ -177,7 +188,9 @@
         if sent_at <= heard_at or endpoint.name in silent:
             return
         silent.add(endpoint.name)
-        if len(silent) == SILENT_ENDPOINTS and any(heard > sent_at for heard, _ in self.zones.values()):
+        if len(silent) == SILENT_ENDPOINTS and any(
+            heard > sent_at for heard, _ in self.zone_silence.values()
+        ):
             self._outbox.log(f"zone {endpoint.zone} silent for {now - heard_at:.0f} ms")
             for other in self._endpoints.caches.values():
                 if other.zone == endpoint.zone and other.admitted_fraction > SILENT_FRACTION:
@@ -192,9 +205,9 @@
         thresholds = self.thresholds()
         if outcome == AttemptOutcome.UNCONNECTED:
             self.eject(now, endpoint, thresholds.unconnected_factor, outcome)
-        elif (self.resets.recent(now, RESET_MIN_SAMPLES) or 0.0) < USUAL_RESETS:
+        elif (self.resets.recent_mean(now, RESET_MIN_SAMPLES) or 0.0) < USUAL_RESETS:
             self.eject(now, endpoint, thresholds.reset_factor, outcome)
 
     def update(self, mean_relative_latency: float | None) -> None:
         """Takes the mean relative latency of all endpoints together, where it was measured."""
-        self.common_latency = max(1.0, mean_relative_latency or self.common_latency)
+        self.fleet_relative_latency = max(1.0, mean_relative_latency or self.fleet_relative_latency)
--- a/calicofall/routing/placement.py
+++ b/calicofall/routing/placement.py
@@ -9,7 +9,7 @@
 from heapq import nsmallest
 from math import log
 
-from calicofall.routing.endpoint import ANY_PLACE, Endpoint, Place
+from calicofall.routing.endpoint import UNCONSTRAINED, Endpoint, PlacementConstraint
 from calicofall.routing.rendezvous import HASH_MODULUS, hash_point
 from calicofall.routing.sliding_window import SlidingWindow
 
@@ -27,23 +27,25 @@
 class Placement:
     """The usable endpoints with their present weights, and the rankings that follow from them."""
 
-    def __init__(self, places: dict[str, Place]) -> None:
+    def __init__(self, places: dict[str, PlacementConstraint]) -> None:
         """No endpoint is usable yet; `places`: the place that each method is bound to."""
         self.usable: list[Candidate] = []
-        self.places = places
-        self.within: dict[Place, list[Candidate]] = {place: [] for place in (ANY_PLACE, *places.values())}
-        self.demand = {place: _demand_window() for place in self.within}  # requests by place
+        self.constraints = places
+        self.candidates: dict[PlacementConstraint, list[Candidate]] = {
+            place: [] for place in (UNCONSTRAINED, *places.values())
+        }
+        self.demand = {place: _demand_window() for place in self.candidates}  # requests by place
         self.weights: dict[str, float] = {}
         self.total_weight: float = 0.0
-        self.rankings: dict[tuple[int, Place], list[Endpoint]] = {}
+        self.rankings: dict[tuple[int, PlacementConstraint], list[Endpoint]] = {}
         self.ranking = self.rank  # recording and replay wrap it
 
-    def rank(self, key: int, place: Place = ANY_PLACE) -> list[Endpoint]:
+    def rank(self, key: int, place: PlacementConstraint = UNCONSTRAINED) -> list[Endpoint]:
         """The key's best endpoints in a place, best first; kept until a weight changes."""
         ranking = self.rankings.get((key, place))
         if ranking is None:
             point = hash_point(key.to_bytes(8))
-            within = self.within[place]
+            within = self.candidates[place]
             scores = [
                 (log(1.0 - point * salt % HASH_MODULUS / HASH_MODULUS) / weight, number)
                 for number, (salt, weight, _) in enumerate(within)
@@ -56,9 +58,9 @@
         """All that are usable."""
         return [endpoint for *_, endpoint in self.usable]
 
-    def holders_of(self, key: int | None) -> list[str]:
+    def possible_holders(self, key: int | None) -> list[str]:
         """The names of all endpoints that the key may have been sent to, in any place."""
-        return [endpoint.name for place in self.within for endpoint in self.ranking(key or 0, place)]
+        return [endpoint.name for place in self.candidates for endpoint in self.ranking(key or 0, place)]
 
     def weight_of(self, endpoint: Endpoint) -> float:
         """Its present weight; 0 where it is not usable."""
@@ -70,11 +72,11 @@
 
     def count_request(self, now: float, method: str) -> None:
         """Counts a request of a method."""
-        self.demand[self.places[method]].add(now)
+        self.demand[self.constraints[method]].add(now)
 
-    def has_bound_methods(self) -> bool:
+    def has_constrained_methods(self) -> bool:
         """Whether any method is bound to a place."""
-        return len(self.within) > 1
+        return len(self.candidates) > 1
 
     def forget_rankings(self) -> None:
         """Drops kept rankings, so that those of keys that are no longer asked for take no memory."""
@@ -90,21 +92,21 @@
         requests = sum(window.count(now) for window in self.demand.values())
         left = dict.fromkeys(self.weights, 1.0)
         for place, window in self.demand.items():
-            here = [candidate for candidate in self.usable if candidate[2].is_within(place)]
-            self.within[place] = here
+            here = [candidate for candidate in self.usable if candidate[2].satisfies(place)]
+            self.candidates[place] = here
             weight = sum(self.weights[endpoint.name] for *_, endpoint in here)
-            if place != ANY_PLACE and requests >= MIN_REQUESTS and weight:
+            if place != UNCONSTRAINED and requests >= MIN_REQUESTS and weight:
                 for *_, endpoint in here:
                     taken = round(window.count(now) / requests * self.total_weight / weight, 1)
                     left[endpoint.name] -= taken
-        self.within[ANY_PLACE] = [
+        self.candidates[UNCONSTRAINED] = [
             (salt, weight * max(MIN_WEIGHT_LEFT, left[endpoint.name]), endpoint)
             for salt, weight, endpoint in self.usable
         ]
         self.rankings.clear()
 
-    def apply_settings(self, places: dict[str, Place]) -> None:
+    def apply_settings(self, places: dict[str, PlacementConstraint]) -> None:
         """Other methods, bound to other places; `refresh` has to follow."""
-        self.places = places
-        self.within = {place: [] for place in (ANY_PLACE, *places.values())}
-        self.demand = {place: self.demand.get(place) or _demand_window() for place in self.within}
+        self.constraints = places
+        self.candidates = {place: [] for place in (UNCONSTRAINED, *places.values())}
+        self.demand = {place: self.demand.get(place) or _demand_window() for place in self.candidates}
--- a/calicofall/routing/policy.py
+++ b/calicofall/routing/policy.py
@@ -20,7 +20,7 @@
 from calicofall.routing.endpoint import Endpoint
 from calicofall.routing.endpoint_table import EndpointTable, ListEntry
 from calicofall.routing.gossip_exchange import GossipExchange
-from calicofall.routing.knowledge import Knowledge
+from calicofall.routing.knowledge import SharedComponents
 from calicofall.routing.latency import MIN_SAMPLES, LatencyBaselines, ZoneLatency
 from calicofall.routing.limits import Limits
 from calicofall.routing.list_polling import ListPolling
@@ -33,7 +33,7 @@
 from calicofall.routing.settings import Deployment, MethodSettings, RawMethod, RoutingSettings, proxy_count
 from calicofall.routing.slow_readers import SlowReaders
 from calicofall.routing.slow_start import SlowStart
-from calicofall.routing.tenant_quota import TenantQuotas, shares_of
+from calicofall.routing.tenant_quota import TenantQuotas, quota_shares
 from calicofall.routing.timeouts import Timeouts
 from calicofall.routing.traffic import RelativeCapacity, Traffic
 
@@ -69,19 +69,19 @@
             now: The present (ms).
         """
         self.chance = Random(seed)
-        known = self._make_knowledge(now, deployment)
-        self._make_judgement(now, deployment, known)
-        self.update_at = now
-        self.measure_at = now
+        known = self._create_shared_components(now, deployment)
+        self._create_decision_components(now, deployment, known)
+        self.next_update_at = now
+        self.next_measurement_at = now
 
-    def _make_knowledge(self, now: float, deployment: Mapping[str, Any]) -> Knowledge:
+    def _create_shared_components(self, now: float, deployment: Mapping[str, Any]) -> SharedComponents:
         """The parts that hold settings and measures."""
         self.settings = RoutingSettings(deployment)
         self.deployment = Deployment(deployment)
         self.outbox = Outbox()
         self.polling = ListPolling(now, deployment.get("discovery") == "ask", self.outbox)
         self.endpoints = EndpointTable(self.settings, self.deployment)
-        self.placement = Placement(self.settings.places())
+        self.placement = Placement(self.settings.placement_constraints())
         self.latency = LatencyBaselines(self.settings.methods, self.settings.latency_objective_ms)
         self.zone_latency = ZoneLatency()
         self.gossip = GossipExchange(now, deployment, self.outbox)
@@ -91,7 +91,7 @@
         self.capacity = RelativeCapacity()
         self.traffic = Traffic(self.deployment.large_fleet, self.placement, self.capacity)
         self.slow_readers = SlowReaders(self.settings)
-        return Knowledge(
+        return SharedComponents(
             self.settings,
             self.deployment,
             self.outbox,
@@ -108,12 +108,14 @@
             self.slow_readers,
         )
 
-    def _make_judgement(self, now: float, deployment: Mapping[str, Any], known: Knowledge) -> None:
+    def _create_decision_components(
+        self, now: float, deployment: Mapping[str, Any], known: SharedComponents
+    ) -> None:
         """The parts that judge by what is known."""
         settings, fleet = self.settings, self.deployment
         self.limits = Limits(now, settings, fleet, self.latency)
         self.retries = RetryPolicy(settings, self.latency, fleet.proxies, self.chance)
-        rates = shares_of(deployment.get("tenants"), fleet.proxies)
+        rates = quota_shares(deployment.get("tenants"), fleet.proxies)
         self.quotas = TenantQuotas(now, rates, fleet, self.chance)
         self.slow_start = SlowStart(now, deployment.get("bears") or 0.0, known)
         self.origin_protection = OriginProtection(known, self.limits)
@@ -129,11 +131,11 @@
         if request.finished or request.streaming:
             return None
         method = self.settings.by_method[request.method]
-        if request.within_share is None:
+        if request.within_quota is None:
             self._on_new_request(now, request)
         if len(request.attempts) >= self.settings.max_attempts:
             return self._give_up(request, method)
-        if self.timeouts.left_ms(now, request, method) <= MIN_LEFT_MS:
+        if self.timeouts.remaining_ms(now, request, method) <= MIN_LEFT_MS:
             return self._give_up(request, method)
         if not self.retries.may_send(now, request, method):
             return self._give_up(request, method)
@@ -142,7 +144,7 @@
         return self._decide_for_cache(now, request, method)
 
     def _on_new_request(self, now: float, request: Request) -> None:
-        request.within_share = self.quotas.admit(now, request.tenant)
+        request.within_quota = self.quotas.admit(now, request.tenant)
         # Clocks differ: this end is in time for a final answer, whichever is ahead.
         latest = min(now, request.expires_at) + self.settings.clock_error_ms
         request.expires_at = max(request.expires_at, latest)
@@ -155,13 +157,13 @@
     def _decide_for_origin(self, now: float, request: Request, method: MethodSettings) -> Decision:
         """A request that only the origin can answer."""
         origin = self.endpoints.direct_origin
-        if origin is None or not self._has_room(now, self.limits.origin, request):
+        if origin is None or not self._has_room(now, self.limits.origin_limit, request):
             return self._wait_or_give_up(now, request, method)
         return self._forward(now, request, origin, 1.0)
 
     def _decide_for_cache(self, now: float, request: Request, method: MethodSettings) -> Decision:
         """A request that a cache may answer."""
-        has_room = bool(request.attempts) or self._has_room(now, self.limits.fleet, request)
+        has_room = bool(request.attempts) or self._has_room(now, self.limits.fleet_limit, request)
         endpoint = None
         is_heavy = request.estimated_work_ms > HEAVY_WORK * self.settings.latency_objective_ms
         if is_heavy or not has_room:
@@ -174,7 +176,7 @@
             return self._wait_or_give_up(now, request, method)
         probability = self._origin_probability(now, request, endpoint)
         # What is likely to need the origin waits for room there, so that fetches do not overload it.
-        if probability and not self._has_room(now, self.limits.origin, request):
+        if probability and not self._has_room(now, self.limits.origin_limit, request):
             return self._wait_or_give_up(now, request, method)
         return self._forward(now, request, endpoint, probability)
 
@@ -199,29 +201,29 @@
         # The client is answered while the fetch goes on: one that is called off is not stored, and an
         # overload of the origin would not end.
         left = request.expires_at - now
-        answered = self.timeouts.left_ms(now, request, self.settings.by_method[request.method])
+        answered = self.timeouts.remaining_ms(now, request, self.settings.by_method[request.method])
         return Forward(endpoint.name, left, answered if answered < left else None)
 
     def count_attempt(self, now: float, endpoint: Endpoint, probability: float) -> float:
         """Counts an attempt as in flight; returns how much of the origin it takes."""
-        if endpoint.held <= 0:
+        if endpoint.in_flight <= 0:
             endpoint.last_heard_at = now
-        endpoint.held += 1
+        endpoint.in_flight += 1
         if self.endpoints.cache(endpoint.name) is not None:
             self.traffic.add(now, endpoint)
-            self.limits.fleet.acquire(now, 1.0)
+            self.limits.fleet_limit.add_in_flight(now, 1.0)
         probability = self.origin_protection.load_of(endpoint, probability)
-        self.limits.origin.acquire(now, probability)
+        self.limits.origin_limit.add_in_flight(now, probability)
         return probability
 
     def _wait_or_give_up(self, now: float, request: Request, method: MethodSettings) -> Decision:
         """Not yet, while an answer within the latency objective is likely; else never."""
         patience = 0.0
-        if request.within_share:
+        if request.within_quota:
             patience = (RETRY_PATIENCE if request.attempts else PATIENCE) * method.latency_objective_ms
         if now - request.arrived_at >= patience:
             return self._give_up(request, method)
-        if self.timeouts.left_ms(now, request, method) <= MIN_LEFT_TO_WAIT_MS:
+        if self.timeouts.remaining_ms(now, request, method) <= MIN_LEFT_TO_WAIT_MS:
             return self._give_up(request, method)
         return Wait(WAIT_MS)
 
@@ -251,7 +253,7 @@
         # An answer that is passed on to a slow client is no load any more.
         load = not attempt.response_started
         attempt.response_started = request.streaming
-        self.limits.origin.acquire(now, -attempt.origin_probability * load)
+        self.limits.origin_limit.add_in_flight(now, -attempt.origin_probability * load)
         if endpoint is not None:
             self._release(now, endpoint, load)
             if outcome != AttemptOutcome.WITHHELD:  # no endpoint is to blame for what the quota held back
@@ -268,12 +270,12 @@
         return self._decide_after(now, request, outcome, took, endpoint)
 
     def _release(self, now: float, endpoint: Endpoint, load: bool) -> None:
-        self.limits.fleet.acquire(now, -load)
-        endpoint.held -= load
+        self.limits.fleet_limit.add_in_flight(now, -load)
+        endpoint.in_flight -= load
 
     def _close_if_seldom_used(self, now: float, endpoint: Endpoint) -> None:
         """Without this, hundreds of proxies would each keep a connection, used once, until it goes idle."""
-        if endpoint.held:
+        if endpoint.in_flight:
             return
         fleet = self.deployment
         cost = self.traffic.sent_count(now) * fleet.proxies * fleet.new_connection_cost
@@ -300,7 +302,7 @@
             return self._give_up(request, method)
         if outcome in UNPAID_OUTCOMES:
             return self.decide(now, request)
-        left = self.timeouts.left_ms(now, request, method)
+        left = self.timeouts.remaining_ms(now, request, method)
         if self.retries.may_retry(now, request, outcome, left, self.chance):
             return self.decide(now, request)
         return self._give_up(request, method)
@@ -352,12 +354,12 @@
         if not waits:
             return
         endpoints = {one.gossip_id: one for one in self.endpoints.caches.values()}
-        fleet = self.limits.fleet
+        fleet = self.limits.fleet_limit
         for gossip_id, wait in waits:
             if gossip_id in endpoints:
-                endpoints[gossip_id].note_wait(now, wait)
-                relative = min(1.0 + wait / self.latency.slowest_ms, 2.0 * fleet.tolerance)
-                fleet.latencies.add(now, relative)
+                endpoints[gossip_id].record_wait(now, wait)
+                relative = min(1.0 + wait / self.latency.longest_baseline_ms, 2.0 * fleet.tolerance)
+                fleet.relative_latencies.add(now, relative)
 
     def _refresh_weights(self, now: float) -> None:
         ready = self.endpoints.ready_caches()
@@ -372,24 +374,24 @@
         An idle proxy needs no update: nothing but the next poll of the list wakes it.
         """
         self.polling.poll_if_due(now, self.settings.poll_interval_ms)
-        if now >= self.update_at:
+        if now >= self.next_update_at:
             self._update(now)
-            self.update_at = now + UPDATE_INTERVAL_MS
-        self.gossip.tell_if_due(now, self.chance)
+            self.next_update_at = now + UPDATE_INTERVAL_MS
+        self.gossip.send_if_due(now, self.chance)
         return max(1.0, self.polling.wait_ms(now)), self.outbox.drain()
 
     def _update(self, now: float) -> None:
         """Fits limits and measures to what happened."""
         self.limits.update(now)
-        fleet = self.limits.fleet
-        self.outliers.update(fleet.latencies.recent(now, MIN_SAMPLES, fleet.window_ms))
+        fleet = self.limits.fleet_limit
+        self.outliers.update(fleet.relative_latencies.recent_mean(now, MIN_SAMPLES, fleet.window_ms))
         self.slow_start.update(now)
-        self.limits.log_overload(now, self.outliers.common_latency, self.outbox)
+        self.limits.log_overload(now, self.outliers.fleet_relative_latency, self.outbox)
         if self.slow_start.is_refresh_due(now):
             self._refresh_weights(now)
-        self.quotas.update_scale(self.gossip.arrivals.count(now), self.gossip.peer_rates(now))
-        if now >= self.measure_at:
-            self.measure_at = now + MEASURE_INTERVAL_MS
+        self.quotas.update_share_scale(self.gossip.arrivals.count(now), self.gossip.peer_request_counts(now))
+        if now >= self.next_measurement_at:
+            self.next_measurement_at = now + MEASURE_INTERVAL_MS
             self._measure(now)
 
     def _measure(self, now: float) -> None:
@@ -420,36 +422,36 @@
         self.settings.apply(deployment, methods)
         self.retries.budget.apply_settings(self.settings.rules)
         self.latency.apply_methods(methods)
-        self.placement.apply_settings(self.settings.places())
-        rates = shares_of(deployment.get("tenants"), proxy_count(deployment))
+        self.placement.apply_settings(self.settings.placement_constraints())
+        rates = quota_shares(deployment.get("tenants"), proxy_count(deployment))
         self.quotas.apply_settings(now, rates)
         self._refresh_weights(now)
 
-    def set_quota_shares(self, quotas: Mapping[str, float], bears: float | None) -> None:
-        """This proxy's parts of tenants' rates (requests a ms), and of what an endpoint bears, where told."""
+    def set_quota_shares(self, quotas: Mapping[str, float], endpoint_rate: float | None) -> None:
+        """This proxy's parts of tenants' rates (requests a ms), and of an endpoint's rate, where told."""
         self.quotas.set_shares(quotas)
-        if bears is not None:
-            self.slow_start.told_rate = bears
+        if endpoint_rate is not None:
+            self.slow_start.assigned_rate = endpoint_rate
 
     # What is seen, and kept
 
     @property
-    def fleet(self) -> ConcurrencyLimit:
+    def fleet_limit(self) -> ConcurrencyLimit:
         """The limit on requests in flight at all caches."""
-        return self.limits.fleet
+        return self.limits.fleet_limit
 
     @property
-    def origin(self) -> ConcurrencyLimit:
+    def origin_limit(self) -> ConcurrencyLimit:
         """The limit on requests in flight at the origin."""
-        return self.limits.origin
+        return self.limits.origin_limit
 
     def set_next_origin_slot(self, at: float) -> None:
         """No request that may need the origin goes before this time (ms)."""
-        self.limits.origin.turn = at
+        self.limits.origin_limit.next_start_at = at
 
     def is_before_origin_slot(self, now: float) -> bool:
         """Whether requests that may need the origin have to wait for their turn."""
-        return now < self.limits.origin.turn
+        return now < self.limits.origin_limit.next_start_at
 
     def heavily_degraded_count(self, now: float) -> int:
         """How many ready endpoints get an eighth of what they own at most."""
@@ -459,34 +461,38 @@
         """What held back a request that was given up. Changes nothing."""
         ranking: list[Endpoint] = []
         if request.key is not None:
-            ranking = self.placement.ranking(request.key, self.placement.places[request.method])
+            ranking = self.placement.ranking(request.key, self.placement.constraints[request.method])
         if request.attempts:
             return request.attempts[-1].outcome or "out"
         if not self.placement.usable:
             return "no list"
         if self.is_before_origin_slot(now):
             return "turn"
-        for name, limit in (("fleet", self.fleet), ("origin", self.origin)):
-            if limit.short:
-                return name if request.within_share else f"{name}, over its share"
+        for name, limit in (("fleet", self.fleet_limit), ("origin", self.origin_limit)):
+            if limit.capacity_denied:
+                return name if request.within_quota else f"{name}, over its share"
         if ranking and all(self.slow_start.is_warming_up(now, endpoint) for endpoint in ranking):
             return "cold"
         return (
-            "aside" if ranking and all(endpoint.trickle(now) < 1.0 for endpoint in ranking) else "none open"
+            "aside"
+            if ranking and all(endpoint.current_fraction(now) < 1.0 for endpoint in ranking)
+            else "none open"
         )
 
     def learned_state(self, now: float) -> dict[str, dict[str, float]]:
         """What this life has found out: limits, baselines (ms), fractions of degraded endpoints."""
         caches = self.endpoints.caches.values()
         return {
-            "limits": {"fleet": self.fleet.value, "origin": self.origin.value},
-            "usual": self.latency.known() | {FETCH: self.latency.fetch_ms},
-            "parts": {one.name: one.trickle(now) for one in caches if one.trickle(now) < 1.0},
+            "limits": {"fleet": self.fleet_limit.value, "origin": self.origin_limit.value},
+            "usual": self.latency.measured() | {FETCH: self.latency.fetch_baseline_ms},
+            "parts": {
+                one.name: one.current_fraction(now) for one in caches if one.current_fraction(now) < 1.0
+            },
         }
 
     def restore_learned_state(self, now: float, learned: Mapping[str, Mapping[str, float]]) -> None:
         """Begins from what a former life found out; all endpoints in it are known."""
-        for name, limit in (("fleet", self.fleet), ("origin", self.origin)):
+        for name, limit in (("fleet", self.fleet_limit), ("origin", self.origin_limit)):
             limit.value = max(limit.value, learned["limits"].get(name, 0.0))
         self.latency.restore(learned["usual"], learned["usual"].get(FETCH))
         for name, fraction in learned["parts"].items():
@@ -497,7 +503,7 @@
         endpoint = self.endpoints.cache(attempt.endpoint)
         if endpoint is not None:
             self._release(now, endpoint, True)
-        self.limits.origin.acquire(now, -attempt.origin_probability)
+        self.limits.origin_limit.add_in_flight(now, -attempt.origin_probability)
         request.attempts.remove(attempt)
 
     def force_attempt(self, now: float, request: Request, name: str) -> None:
--- a/calicofall/routing/request.py
+++ b/calicofall/routing/request.py
@@ -82,7 +82,7 @@
     cache_missed: bool = False  # a cache lacked the key: the origin is next
     cache_miss_retries: int = 0  # attempts that misses allow beside the retry budget
     estimated_work_ms: float = 0.0  # how long a cache may work on it, by a rough hint; 0 where none came
-    within_share: bool | None = None  # of its tenant's quota; unknown until first asked about
+    within_quota: bool | None = None  # of its tenant's quota; unknown until first asked about
     answer: str | None = None  # the final one: completed, exhausted or errored
     retry_after_ms: float = 0.0  # when the client may ask again, where exhausted
     timeout_ms: float = 0.0  # how long the last attempt is waited for
--- a/calicofall/routing/retry_policy.py
+++ b/calicofall/routing/retry_policy.py
@@ -35,23 +35,23 @@
     def __init__(self, rules: Mapping[str, Any]) -> None:
         """Reads the rules of a deployment: `retry_span` (ms), `retry_spare` and `retry_ratio`."""
         span = rules.get("retry_span") or 1.0
-        self.told = bool(rules.get("retry_span"))
-        self.spare: float = rules.get("retry_spare") or 0.0
-        self.ratio: float = rules.get("retry_ratio") or 0.0
-        self.taken = SlidingWindow(span, 40)
-        self.spent = SlidingWindow(span * 1.05, 42)
+        self.enabled = bool(rules.get("retry_span"))
+        self.fixed_attempts: float = rules.get("retry_spare") or 0.0
+        self.attempts_per_request: float = rules.get("retry_ratio") or 0.0
+        self.requests = SlidingWindow(span, 40)
+        self.extra_attempts = SlidingWindow(span * 1.05, 42)
 
-    def free(self, now: float, part: float) -> bool:
+    def allows(self, now: float, part: float) -> bool:
         """Whether one more may go, for who may use this part of what is allowed now."""
-        if not self.told:
+        if not self.enabled:
             return True
-        allowed = part * (self.spare + self.ratio * self.taken.count(now))
-        return self.spent.count(now) + 1.0 <= allowed
+        allowed = part * (self.fixed_attempts + self.attempts_per_request * self.requests.count(now))
+        return self.extra_attempts.count(now) + 1.0 <= allowed
 
     def apply_settings(self, rules: Mapping[str, Any]) -> None:
         """Takes other amounts; the span and whether there is a budget stay as they were."""
-        self.spare = rules.get("retry_spare") or 0.0
-        self.ratio = rules.get("retry_ratio") or 0.0
+        self.fixed_attempts = rules.get("retry_spare") or 0.0
+        self.attempts_per_request = rules.get("retry_ratio") or 0.0
 
 
 def is_repeat_safe(now: float, method: MethodSettings, first: Attempt | None) -> bool:
@@ -87,14 +87,14 @@
     def on_request(self, now: float) -> None:
         """A request came: it adds to the allowance and the budget."""
         self.allowance = min(self.max_allowance, self.allowance + ALLOWANCE_PER_REQUEST)
-        self.budget.taken.add(now)
+        self.budget.requests.add(now)
 
     def on_forward(self, now: float, request: Request) -> None:
         """A request is forwarded: a further attempt is paid for, unless a miss allowed it."""
         if request.cache_miss_retries:
             request.cache_miss_retries -= 1
         elif request.attempts:
-            self.budget.spent.add(now)
+            self.budget.extra_attempts.add(now)
 
     def on_result(self, now: float, request: Request, number: int) -> None:
         """An attempt has ended: what it tells of the request's groups, where the one before it failed."""
@@ -118,42 +118,42 @@
             return True
         if not request.cache_miss_retries:
             part = OVER_QUOTA_BUDGET
-            if request.within_share:
+            if request.within_quota:
                 part = 0.5 + 0.5 * self._settings.priority[request.method]
-            if not self.budget.free(now, part / self._settings.process_count):
+            if not self.budget.allows(now, part / self._settings.process_count):
                 return False
         if any(attempt.outcome is None for attempt in attempts):
             return False
         return is_repeat_safe(now, method, request.first_possibly_run())
 
     def may_retry(
-        self, now: float, request: Request, outcome: AttemptOutcome, left_ms: float, chance: Random
+        self, now: float, request: Request, outcome: AttemptOutcome, remaining_ms: float, chance: Random
     ) -> bool:
         """Whether a request whose attempt failed is to be sent again, and pays for it.
 
         Retries are a part of what comes in, not of what fails: else they would make an overload worse.
         """
-        usual = self._latency.of(request.method)
+        usual = self._latency.baseline_ms(request.method)
         # Requests that fail wherever they go would load every endpoint in turn; now and then one is tried.
         hopeless = outcome == AttemptOutcome.ERROR and self.fails_everywhere(
             now, request, now - request.attempts[-1].sent_at
         )
         if hopeless and chance.random() >= TRIAL_PROBABILITY:
             return False
-        fine = (self.budget.told or self.allowance >= 1) and left_ms >= (usual or 0.0)
+        fine = (self.budget.enabled or self.allowance >= 1) and remaining_ms >= (usual or 0.0)
         if fine:  # what failed soon costs less
             self.allowance -= 0.5 if outcome in TRANSIENT_FAILURES else 1.0
         return fine
 
     def fails_everywhere(self, now: float, request: Request, latency_ms: float) -> bool:
         """Whether requests of one of its groups fail soon wherever they go, by those sent again lately."""
-        if latency_ms >= self._latency.fetch_ms:  # an overloaded origin would pass for bad requests
+        if latency_ms >= self._latency.fetch_baseline_ms:  # an overloaded origin would pass for bad requests
             return False
         for group in request.groups():
             window = self.failing_groups.get(group)
             if window is None:
                 continue
-            if (window.recent(now, GROUP_MIN_SAMPLES, GROUP_SPAN_MS / 4) or 0.0) > FAILS_EVERYWHERE:
+            if (window.recent_mean(now, GROUP_MIN_SAMPLES, GROUP_SPAN_MS / 4) or 0.0) > FAILS_EVERYWHERE:
                 return True
         return False
 
@@ -163,7 +163,7 @@
         if (
             repeats == RetrySafety.IDEMPOTENT
             or request.first_possibly_run() is None
-            or (repeats == RetrySafety.IDEMPOTENCY_KEY and method.group == "all")
+            or (repeats == RetrySafety.IDEMPOTENCY_KEY and method.deduplication_group == "all")
         ):
             return Reject(self._settings.max_retry_after_ms * chance.uniform(0.3, 0.6))
         return Fail()
--- a/calicofall/routing/router.py
+++ b/calicofall/routing/router.py
@@ -29,7 +29,7 @@
 
 UNFETCHED = frozenset({"hit", "fetching"})  # notes of answers for which the origin was not asked
 COMPLETED, REJECTED, FAILED = "completed", "exhausted", "errored"  # final answers, as records hold them
-SLACK = 0.01  # ms; a wait that ends within it has ended
+WAIT_TOLERANCE_MS = 0.01  # ms; a wait that ends within it has ended
 
 
 class Router:
@@ -47,8 +47,8 @@
         self.bind_policy()
         self.active_requests: dict[str, Request] = {}
         self.waiting: list[tuple[float, int, Request]] = []  # when it is due, number, request
-        self.count = 0  # waits so far
-        self.applied = 0  # settings so far
+        self.wait_count = 0  # waits so far
+        self.settings_count = 0  # settings so far
         self.log_lines: list[str] = []  # what the policy has to say, for the log
         self.actions: list[Action] = []  # what the policy asks of the caller
         self.origin_slots: OriginFetchSlots | None = None  # our turns at the origin, where they are told
@@ -133,7 +133,7 @@
 
     def next_due_request(self, now: float) -> Request | None:
         """The first request whose wait has ended: to be routed again."""
-        while self.waiting and self.waiting[0][0] <= now + SLACK:
+        while self.waiting and self.waiting[0][0] <= now + WAIT_TOLERANCE_MS:
             request = heappop(self.waiting)[2]
             if not request.finished:
                 return request
@@ -157,10 +157,10 @@
         if isinstance(decision, Forward):
             request.timeout_ms = decision.timeout_ms
             if decision.decide_again_after_ms is not None:
-                self._hold(now, request, decision.decide_again_after_ms)
+                self._schedule_wait(now, request, decision.decide_again_after_ms)
             return decision.endpoint
         if isinstance(decision, Wait):
-            self._hold(now, request, decision.delay_ms)
+            self._schedule_wait(now, request, decision.delay_ms)
             return None
         request.finished = True
         request.answer = REJECTED if isinstance(decision, Reject) else FAILED
@@ -168,9 +168,9 @@
         self._drop_if_done(request)
         return None
 
-    def _hold(self, now: float, request: Request, wait: float) -> None:
-        self.count += 1
-        heappush(self.waiting, (now + wait, self.count, request))
+    def _schedule_wait(self, now: float, request: Request, wait: float) -> None:
+        self.wait_count += 1
+        heappush(self.waiting, (now + wait, self.wait_count, request))
 
     def _drop_if_done(self, request: Request) -> None:
         if request.finished and all(attempt.outcome for attempt in request.attempts):
@@ -204,7 +204,7 @@
                 slots = tuple(origin_slots.take(at) for _ in range(1 + request.write))
                 request.attempts[-1].rate_slots = slots
                 self._look_up_slot(now)
-        elif self.policy.is_before_origin_slot(now) and now - request.arrived_at < SLACK:
+        elif self.policy.is_before_origin_slot(now) and now - request.arrived_at < WAIT_TOLERANCE_MS:
             origin_slots.wishes.add(at)
 
     # Settings and what other parts of the proxy know
@@ -213,14 +213,15 @@
         """How many processes this proxy has now, each with one such part."""
         self.policy.settings.process_count = count
 
-    def set_quota_shares(self, quotas: dict[str, float], bears: float | None) -> None:
+    def set_quota_shares(self, quotas: dict[str, float], endpoint_rate: float | None) -> None:
         """Our parts now.
 
         Args:
             quotas: Of tenants' rates (requests a ms).
-            bears: Of what an endpoint bears (requests a ms and unit of weight); None where it is not told.
+            endpoint_rate: Of what an endpoint can serve (requests a ms and unit of weight); None where it is
+                not told.
         """
-        self.policy.set_quota_shares(quotas, bears)
+        self.policy.set_quota_shares(quotas, endpoint_rate)
 
     def apply_settings(self, now: float, deployment: dict[str, Any]) -> None:
         """Takes other settings from here on, whole.
@@ -228,20 +229,20 @@
         Requests in hand end under rules that both allow: each stands under a method of its own from now on,
         until it is over.
         """
-        self.applied += 1
+        self.settings_count += 1
         methods: dict[str, RawMethod] = {method["name"]: method for method in deployment["methods"]}
         aliases: dict[str, str] = {}
         for request in self.active_requests.values():
             former = request.method
             if former not in aliases:
-                version = f"{self.applied}.{len(aliases)}"
+                version = f"{self.settings_count}.{len(aliases)}"
                 aliases[former] = f"{request.name}{SETTINGS_VERSION_SEPARATOR}{version}"
             alias = aliases[former]
             if alias not in methods:
                 before = self.policy.settings.methods[former]
                 after = methods.get(request.name) or before | {"zones_open": [settings_compatibility.CLOSED]}
                 methods[alias] = settings_compatibility.between(before, after) | {"name": alias}
-                self.policy.latency.alias(former, alias)
+                self.policy.latency.add_alias(former, alias)
             request.method = alias
         self.policy.apply_settings(now, deployment, methods)
 
@@ -292,7 +293,7 @@
         tried = request.attempts[0].endpoint
         return any(
             endpoint.name != tried
-            and endpoint.trickle(now) >= 1.0
+            and endpoint.current_fraction(now) >= 1.0
             and not self.policy.slow_start.is_warming_up(now, endpoint)
             for endpoint in self.ranking(request)
         )
@@ -302,7 +303,7 @@
         if request.key is None:
             return []
         placement = self.policy.placement
-        return placement.ranking(request.key, placement.places[request.method])
+        return placement.ranking(request.key, placement.constraints[request.method])
 
     def is_still_allowed(self, now: float, request: Request, number: int) -> bool:
         """Whether an attempt that was decided on is still allowed, right before it leaves."""
@@ -310,7 +311,7 @@
         endpoint = self.policy.endpoints.cache(attempt.endpoint)
         if endpoint is None:
             return True
-        if not endpoint.is_within(self.policy.placement.places[request.method]):
+        if not endpoint.satisfies(self.policy.placement.constraints[request.method]):
             return False
         first = request.first_possibly_run()
         method = self.policy.settings.by_method[request.method]
@@ -322,11 +323,11 @@
 
     def baseline_latency(self, method: str) -> float | None:
         """The baseline of a method's answers (ms); None where it was not measured yet."""
-        return self.policy.latency.of(method)
+        return self.policy.latency.baseline_ms(method)
 
     def has_baselines(self) -> bool:
         """Whether the limits rest on baselines that were measured."""
-        return self.policy.latency.any_known()
+        return self.policy.latency.any_measured()
 
     def overload_multiple(self) -> float:
         """How much more than its share an endpoint that warms up may be sent."""
@@ -334,5 +335,5 @@
 
     def limits_in_use(self) -> dict[str, str]:
         """Of each limit, how much is in flight, and its value, for the log."""
-        limits = {"fleet": self.policy.fleet, "origin": self.policy.origin}
-        return {name: f"{limit.held:.1f}/{limit.value:.2f}" for name, limit in limits.items()}
+        limits = {"fleet": self.policy.fleet_limit, "origin": self.policy.origin_limit}
+        return {name: f"{limit.in_flight:.1f}/{limit.value:.2f}" for name, limit in limits.items()}
--- a/calicofall/routing/selection.py
+++ b/calicofall/routing/selection.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from calicofall.routing.endpoint import Endpoint
-from calicofall.routing.knowledge import Knowledge
+from calicofall.routing.knowledge import SharedComponents
 from calicofall.routing.origin_protection import OriginProtection
 from calicofall.routing.outlier_detection import OutlierDetector
 from calicofall.routing.request import Request, RetrySafety
@@ -27,24 +27,24 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        shared: SharedComponents,
         slow_start: SlowStart,
         outliers: OutlierDetector,
         origin_protection: OriginProtection,
     ) -> None:
         """Holds no state of its own: the parts it is given do."""
-        self._settings = knowledge.settings
-        self._deployment = knowledge.deployment
-        self._endpoints = knowledge.endpoints
-        self._placement = knowledge.placement
+        self._settings = shared.settings
+        self._deployment = shared.deployment
+        self._endpoints = shared.endpoints
+        self._placement = shared.placement
         self._slow_start = slow_start
         self._outliers = outliers
         self._origin_protection = origin_protection
-        self._cached_keys = knowledge.cached_keys
-        self._key_counts = knowledge.key_counts
-        self._traffic = knowledge.traffic
-        self._zone_latency = knowledge.zone_latency
-        self._gossip = knowledge.gossip
+        self._cached_keys = shared.cached_keys
+        self._key_counts = shared.key_counts
+        self._traffic = shared.traffic
+        self._zone_latency = shared.zone_latency
+        self._gossip = shared.gossip
 
     def select(self, now: float, request: Request, chance: Random) -> Endpoint | None:
         """The endpoint that a request goes to now; None where none of its key's endpoints takes it."""
@@ -74,7 +74,7 @@
             for one in attempts
             if one.outcome not in TRANSIENT_FAILURES or len(attempts) < TRIES_BEFORE_REUSE
         }
-        place = self._placement.places[request.method]
+        place = self._placement.constraints[request.method]
         candidates = [
             one
             for one in self._placement.ranking(key, place)
@@ -82,7 +82,7 @@
         ]
         # After a fall of its limit, spills that have to be fetched would fill the jammed origin.
         is_spill = self._deployment.look_aside and attempts and not self._traffic.low
-        if is_spill and self._origin_protection.shrank_lately(now):
+        if is_spill and self._origin_protection.limit_shrank_recently(now):
             return [one for one in candidates if self._cached_keys.holds(one.name, key)]
         return candidates
 
@@ -92,7 +92,7 @@
         if first is not None:
             method = self._settings.by_method[request.method]
             if method.retry_safety == RetrySafety.IDEMPOTENCY_KEY and not self._shares_repeats(
-                self._endpoints.cache(first.endpoint), endpoint, method.group
+                self._endpoints.cache(first.endpoint), endpoint, method.deduplication_group
             ):
                 return False
         if not self._slow_start.is_warming_up(now, endpoint):
@@ -151,17 +151,17 @@
         weights = self._placement.weights
         return self._origin_protection.spare_origin(now, request) or min(
             endpoints,
-            key=lambda one: (one.held, one.mean_wait_ms(now), one.sent.count(now) / weights[one.name]),
+            key=lambda one: (one.in_flight, one.mean_wait_ms(now), one.sent.count(now) / weights[one.name]),
         )
 
     def _is_crowded(self, now: float, endpoint: Endpoint, busy: bool, chance: Random) -> bool:
         """Whether it is over its spill threshold: in flight, in waits, or in what it was lately sent."""
-        if self._gossip.peers:
+        if self._gossip.peer_count:
             wait = endpoint.mean_wait_ms(now)
             most = LONG_WAIT * self._settings.latency_objective_ms
             if wait > most and chance.random() * wait > most:
                 return True
-        if endpoint.held >= SPILL_REQUESTS or busy or not self._traffic.low:
-            return endpoint.held >= SPILL_REQUESTS
+        if endpoint.in_flight >= SPILL_REQUESTS or busy or not self._traffic.low:
+            return endpoint.in_flight >= SPILL_REQUESTS
         # One of many proxies never has two in flight, while few keys may make most of the load.
-        return endpoint.sent.count(now) > self._traffic.even_count(now, endpoint)
+        return endpoint.sent.count(now) > self._traffic.expected_count(now, endpoint)
--- a/calicofall/routing/settings.py
+++ b/calicofall/routing/settings.py
@@ -8,7 +8,7 @@
 from math import inf
 from typing import Any
 
-from calicofall.routing.endpoint import Place
+from calicofall.routing.endpoint import PlacementConstraint
 from calicofall.routing.request import RetrySafety
 
 LARGE_FLEET_PROXIES = 16.0  # with more proxies each meets an endpoint too seldom to learn from it alone
@@ -17,7 +17,7 @@
 DEFAULT_WARM_UP_MS = 14_000.0
 DEFAULT_WARM_UP_SHARE = 0.1
 DEFAULT_POLL_INTERVAL_MS = 10_000.0
-PLACE_FIELDS = "zones_open", "kinds_open"  # fields that bind a method to a place
+CONSTRAINT_FIELDS = "zones_open", "kinds_open"  # fields that bind a method to a place
 
 RawMethod = dict[str, Any]  # a method as `config.settings` gives it out, and as states and records hold it
 
@@ -27,19 +27,19 @@
     """What is set for the requests of one method; times in ms."""
 
     retry_safety: RetrySafety
-    group: (
+    deduplication_group: (
         str | None
     )  # the endpoints that drop repeats of a request with an idempotency key: all, zone or cell
     idempotency_window_ms: float  # for how long they do
     latency_objective_ms: float
     deadline_ms: float
     late_value: float  # what an answer past the objective is worth, of one before it; 0: nothing
-    place: Place  # the zones and kinds it is bound to
+    constraint: PlacementConstraint  # the zones and kinds it is bound to
 
     @classmethod
     def of(cls, method: RawMethod) -> "MethodSettings":
         """Reads a method's map."""
-        zones, kinds = (frozenset(method.get(field) or ()) or None for field in PLACE_FIELDS)
+        zones, kinds = (frozenset(method.get(field) or ()) or None for field in CONSTRAINT_FIELDS)
         return cls(
             RetrySafety(method["repeats"]),
             method.get("group"),
@@ -94,7 +94,9 @@
         self.latency_objective_ms: float = min(
             (method["soft_deadline"] for method in methods.values()), default=DEFAULT_LATENCY_OBJECTIVE_MS
         )
-        self.useful_ms = self._useful_ms(is_look_aside(deployment))  # a fetch that takes longer is of no use
+        self.max_useful_fetch_ms = self._max_useful_fetch_ms(
+            is_look_aside(deployment)
+        )  # a fetch that takes longer is of no use
         highest = max((method.get("gain") or 1.0 for method in methods.values()), default=1.0)
         # Priority weight of a method, relative to the highest.
         self.priority = {name: (method.get("gain") or 1.0) / highest for name, method in methods.items()}
@@ -109,14 +111,16 @@
         # How much more than its share an endpoint that warms up may be sent.
         self.overload_multiple: float = rules.get("fall_multiple") or 1.0
         self.poll_interval_ms: float = rules.get("ask_every") or DEFAULT_POLL_INTERVAL_MS
-        self.draining_alone = bool(rules.get("draining_alone"))  # an endpoint is not out unless it drained
+        self.removal_requires_draining = bool(
+            rules.get("draining_alone")
+        )  # an endpoint is not out unless it drained
         self.can_cancel = bool(caps.get("cancel"))  # attempts may be called off
         # The longest pause that a rejected client may be told; 0 where none is told.
         self.max_retry_after_ms: float = 0.0
         if caps.get("retry_after"):
             self.max_retry_after_ms = caps.get("max_retry_after") or 0.0
 
-    def _useful_ms(self, look_aside: bool) -> float:
+    def _max_useful_fetch_ms(self, look_aside: bool) -> float:
         if look_aside:
             return self.latency_objective_ms
         # Where late answers have some worth, a fetch is of use for longer.
@@ -129,9 +133,9 @@
             default=DEFAULT_LATENCY_OBJECTIVE_MS,
         )
 
-    def places(self) -> dict[str, Place]:
+    def placement_constraints(self) -> dict[str, PlacementConstraint]:
         """The place that each method is bound to."""
-        return {name: method.place for name, method in self.by_method.items()}
+        return {name: method.constraint for name, method in self.by_method.items()}
 
 
 def proxy_count(deployment: Mapping[str, Any]) -> int:
--- a/calicofall/routing/slow_readers.py
+++ b/calicofall/routing/slow_readers.py
@@ -18,20 +18,20 @@
     def __init__(self, settings: RoutingSettings) -> None:
         """None is known."""
         self._settings = settings
-        self.late = SlidingWindow(LATE_SPAN_MS, 8)  # requests that ended past the latency objective
-        self.last_latency: dict[str | None, float] = {}  # by endpoint (ms); None: whichever fetched last
+        self.late_requests = SlidingWindow(LATE_SPAN_MS, 8)  # requests that ended past the latency objective
+        self.last_latencies: dict[str | None, float] = {}  # by endpoint (ms); None: whichever fetched last
 
     def on_result(self, now: float, request: Request, method: MethodSettings) -> None:
         """An attempt has ended: counted where it is late."""
         late = method.latency_objective_ms - OBJECTIVE_MARGIN_MS
         if self._settings.answer_buffers and now - request.arrived_at >= late:
-            self.late.add(now)
+            self.late_requests.add(now)
 
     def fill_buffers(self, now: float, method: MethodSettings) -> bool:
         """Whether slow readers would fill half of the buffers, were they waited for to the end."""
         rest = method.deadline_ms - method.latency_objective_ms
         # Without any buffers none is counted.
-        return 0 < self._settings.answer_buffers < 2.0 * self.late.count(now) / LATE_SPAN_MS * rest
+        return 0 < self._settings.answer_buffers < 2.0 * self.late_requests.count(now) / LATE_SPAN_MS * rest
 
     def endpoint_latency(
         self, endpoint: str, outcome: AttemptOutcome, latency_ms: float, fetched: bool
@@ -46,13 +46,13 @@
         if outcome not in (AttemptOutcome.COMPLETED, AttemptOutcome.TIMEOUT):
             return latency_ms
         of = None if fetched else endpoint
-        last = self.last_latency.get(of, latency_ms)
+        last = self.last_latencies.get(of, latency_ms)
         if outcome == AttemptOutcome.COMPLETED:
-            self.last_latency[of] = latency_ms
-        elif max(last, self.last_latency.get(None, latency_ms)) < SLOWER * latency_ms:
+            self.last_latencies[of] = latency_ms
+        elif max(last, self.last_latencies.get(None, latency_ms)) < SLOWER * latency_ms:
             return None
         return min(latency_ms, last)
 
     def forget(self) -> None:
         """Drops the last latencies, so that those of endpoints that are gone take no memory."""
-        self.last_latency = {}
+        self.last_latencies = {}
--- a/calicofall/routing/slow_start.py
+++ b/calicofall/routing/slow_start.py
@@ -9,7 +9,7 @@
 
 from calicofall.routing.concurrency_limit import UPDATE_INTERVAL_MS
 from calicofall.routing.endpoint import WARMING_SPAN_MS, Endpoint
-from calicofall.routing.knowledge import Knowledge
+from calicofall.routing.knowledge import SharedComponents
 from calicofall.routing.sliding_window import SlidingWindow
 
 MAX_RAMP_MS = 14_000.0  # of a weight after the listed start
@@ -25,31 +25,31 @@
 class SlowStart:
     """The ramp of weights, and the chance of requests to endpoints that warm up."""
 
-    def __init__(self, now: float, told_rate: float, knowledge: Knowledge) -> None:
+    def __init__(self, now: float, assigned_rate: float, shared: SharedComponents) -> None:
         """Nothing is known to be carried.
 
         Args:
             now: The present (ms).
-            told_rate: This proxy's part of what an endpoint bears, where told (requests a ms and unit of
-                weight); else 0.
-            knowledge: What the policy knows.
+            assigned_rate: This proxy's part of what an endpoint can serve, where told (requests a ms and
+                unit of weight); else 0.
+            shared: What the policy knows.
         """
-        settings = knowledge.settings
+        settings = shared.settings
         self._settings = settings
-        self._deployment = knowledge.deployment
-        self._placement = knowledge.placement
-        self._traffic = knowledge.traffic
-        self._key_counts = knowledge.key_counts
+        self._deployment = shared.deployment
+        self._placement = shared.placement
+        self._traffic = shared.traffic
+        self._key_counts = shared.key_counts
         # With a longer ramp, a fleet that warms in a second and is replaced every few seconds would never
         # have its whole weight.
         self.ramp_ms = min(MAX_RAMP_MS, RAMP_WARM_UPS * settings.warm_up_ms)
-        self.born = now
+        self.created_at = now
         self.refresh_at = inf
         self.warm_weight: float = 0.0  # sum of the present weights of warm endpoints
-        self.warm_weight_lately: float = 0.0
-        self.completed = SlidingWindow(CARRIED_SPAN_MS, 20)  # by warm endpoints
-        self.carried: float = 0.0  # by warm endpoints here, per ms and unit of weight
-        self.told_rate = told_rate
+        self.recent_warm_weight: float = 0.0
+        self.warm_completions = SlidingWindow(CARRIED_SPAN_MS, 20)  # by warm endpoints
+        self.warm_request_rate: float = 0.0  # by warm endpoints here, per ms and unit of weight
+        self.assigned_rate = assigned_rate
 
     def weight(self, now: float, endpoint: Endpoint) -> float:
         """Its present weight: a part of the listed one on the ramp after its start."""
@@ -69,7 +69,7 @@
         self.warm_weight = sum(self._placement.weights[one.name] for one in warm)
         if any(self._is_on_ramp(now, one) for one in self._placement.endpoints()):
             self.refresh_at = now + self.ramp_ms / RAMP_STEPS
-        elif self._placement.has_bound_methods():
+        elif self._placement.has_constrained_methods():
             self.refresh_at = now + 8 * UPDATE_INTERVAL_MS
         else:
             self.refresh_at = inf
@@ -84,15 +84,15 @@
 
     def on_completed(self, now: float, warming_up: bool) -> None:
         """An endpoint answered a request."""
-        self.completed.add(now, count=not warming_up)
+        self.warm_completions.add(now, count=not warming_up)
 
     def update(self, now: float) -> None:
         """Measures anew what warm endpoints carry."""
         # Without this, after a mass restart, what all had carried would be put down to the few still warm.
-        self.warm_weight_lately = max(self.warm_weight, self.warm_weight_lately * FORGET)
-        if self.warm_weight_lately:
-            rate = self.completed.count(now) / self.warm_weight_lately / CARRIED_SPAN_MS
-            self.carried = max(rate, self.carried * FORGET)
+        self.recent_warm_weight = max(self.warm_weight, self.recent_warm_weight * FORGET)
+        if self.recent_warm_weight:
+            rate = self.warm_completions.count(now) / self.recent_warm_weight / CARRIED_SPAN_MS
+            self.warm_request_rate = max(rate, self.warm_request_rate * FORGET)
 
     def admits(self, now: float, key: int | None, endpoint: Endpoint, chance: Random) -> bool:
         """Whether a request may go to an endpoint that warms up: by chance, up to what the rule allows.
@@ -106,7 +106,7 @@
         age = max(0.0, now - endpoint.started_at) / settings.warm_up_ms
         part = (share + (1 - share) * min(1.0, age)) * settings.overload_multiple
         rate = max(
-            max(self.carried, self.told_rate) * endpoint.weight,
+            max(self.warm_request_rate, self.assigned_rate) * endpoint.weight,
             1.5 / settings.latency_objective_ms / self._deployment.proxies,
         )
         wanted = self._wanted_rate(now, key, endpoint)
@@ -116,7 +116,7 @@
     def _wanted_rate(self, now: float, key: int | None, endpoint: Endpoint) -> float:
         """Requests a ms that would go there: by its weight, by the key, by what came; the most of them."""
         placement = self._placement
-        seen = max(500.0, min(10_000.0, now - self.born))
+        seen = max(500.0, min(10_000.0, now - self.created_at))
         by_weight = (
             (self._traffic.recent_count(now) + 1)
             / seen
@@ -126,7 +126,7 @@
         # Without the key's own count, a hot key whose owner warms up would be sent there by all proxies
         # together far too often, while each sends it seldom.
         asked = self._key_counts.count(key)
-        span = min(now - self.born, self._key_counts.span_ms(now))
+        span = min(now - self.created_at, self._key_counts.span_ms(now))
         came = endpoint.warming_requests.count(now)
         counted = (asked, span), (came, min(now - endpoint.started_at, WARMING_SPAN_MS))
         return max([by_weight, *(count / max(1000.0, over) for count, over in counted if count >= 2)])
--- a/calicofall/routing/tenant_quota.py
+++ b/calicofall/routing/tenant_quota.py
@@ -15,7 +15,7 @@
 MAX_UNEVEN_SCALE = 2.0
 
 
-def shares_of(tenants: Iterable[Mapping[str, Any]] | None, proxies: int) -> dict[str, float]:
+def quota_shares(tenants: Iterable[Mapping[str, Any]] | None, proxies: int) -> dict[str, float]:
     """This proxy's part of each tenant's quota (requests a ms); 0 where none is set."""
     quotas = {tenant["name"]: tenant.get("quota") or 0.0 for tenant in tenants or []}
     return {name: quota / 1000.0 / proxies for name, quota in quotas.items()}
@@ -29,7 +29,7 @@
         self._deployment = deployment
         self.rates = rates  # requests a ms, by tenant
         self.buckets = {name: [self._burst() * chance.random(), now] for name in rates}  # tokens, filled at
-        self.scale = 1.0  # how much more than an even part of the clients' requests comes here
+        self.share_scale = 1.0  # how much more than an even part of the clients' requests comes here
 
     def _burst(self) -> float:
         return LARGE_FLEET_BURST_REQUESTS if self._deployment.large_fleet else BURST_REQUESTS
@@ -42,14 +42,14 @@
         if not rate:
             return rate is None
         bucket = self.buckets[tenant]
-        rate *= self.scale
+        rate *= self.share_scale
         tokens = min(rate * 1000.0 + self._burst(), bucket[0] + rate * (now - bucket[1]))
         fits = tokens >= 1.0
         bucket[0] = tokens - fits
         bucket[1] = now
         return fits
 
-    def update_scale(self, own: float, peers: list[float]) -> None:
+    def update_share_scale(self, own: float, peers: list[float]) -> None:
         """Fits the share to how unevenly clients are spread over the proxies.
 
         Args:
@@ -57,9 +57,9 @@
             peers: What peers told of theirs.
         """
         even = sum(self.rates.values()) * CLIENTS_SPAN_MS
-        self.scale = min(MAX_UNEVEN_SCALE, max(1.0, own / even)) if even else 1.0
+        self.share_scale = min(MAX_UNEVEN_SCALE, max(1.0, own / even)) if even else 1.0
         if peers:  # proxies that say nothing are taken at the mean of those that do
-            self.scale = own * (len(peers) + 1) / max(1.0, own + sum(peers))
+            self.share_scale = own * (len(peers) + 1) / max(1.0, own + sum(peers))
 
     def set_shares(self, rates: Mapping[str, float]) -> None:
         """Other rates (requests a ms) for tenants that are known."""
--- a/calicofall/routing/timeouts.py
+++ b/calicofall/routing/timeouts.py
@@ -1,7 +1,7 @@
 """How long an answer has worth, and how long an attempt is waited for."""
 
 from calicofall.routing.endpoint import Endpoint
-from calicofall.routing.knowledge import Knowledge
+from calicofall.routing.knowledge import SharedComponents
 from calicofall.routing.outlier_detection import OutlierDetector
 from calicofall.routing.request import Request, RetrySafety
 from calicofall.routing.retry_policy import RetryPolicy
@@ -16,20 +16,20 @@
 class Timeouts:
     """Bounds on the time that a request is worked on."""
 
-    def __init__(self, knowledge: Knowledge, retries: RetryPolicy, outliers: OutlierDetector) -> None:
+    def __init__(self, shared: SharedComponents, retries: RetryPolicy, outliers: OutlierDetector) -> None:
         """Holds no state of its own: the parts it is given do."""
-        self._settings = knowledge.settings
-        self._deployment = knowledge.deployment
-        self._endpoints = knowledge.endpoints
-        self._latency = knowledge.latency
-        self._zone_latency = knowledge.zone_latency
-        self._cached_keys = knowledge.cached_keys
-        self._traffic = knowledge.traffic
+        self._settings = shared.settings
+        self._deployment = shared.deployment
+        self._endpoints = shared.endpoints
+        self._latency = shared.latency
+        self._zone_latency = shared.zone_latency
+        self._cached_keys = shared.cached_keys
+        self._traffic = shared.traffic
         self._retries = retries
-        self._slow_readers = knowledge.slow_readers
+        self._slow_readers = shared.slow_readers
         self._outliers = outliers
 
-    def left_ms(self, now: float, request: Request, method: MethodSettings) -> float:
+    def remaining_ms(self, now: float, request: Request, method: MethodSettings) -> float:
         """How long an answer has worth, so that none is worked on for nothing where a late one has none.
 
         With few requests late answers are of use in the first seconds: the proxy learns from them.
@@ -49,19 +49,21 @@
         Without that, requests that were sent to a machine that vanished would all be lost.
         """
         method = self._settings.by_method[request.method]
-        usual = self._latency.of(request.method)
+        usual = self._latency.baseline_ms(request.method)
         cached = self._cached_keys.holds(endpoint.name, request.key)
         look_aside = self._deployment.look_aside
         left = request.expires_at - now
         # A fetch that is called off is not stored: called off again and again, an overload would have no end.
         if cached or look_aside or self._slow_readers.fill_buffers(now, method):
-            left = self.left_ms(now, request, method)
+            left = self.remaining_ms(now, request, method)
         if not usual or not self._traffic.low or not self._retries.has_allowance():
             return left
         if self._endpoints.cache(endpoint.name) is None:
             return left
-        fetch = 0.0 if cached or look_aside else FETCH_BASELINES * self._latency.fetch_ms + usual
-        late = LATE_BASELINES * usual * self._outliers.common_latency + self._zone_latency.extra_ms(endpoint)
+        fetch = 0.0 if cached or look_aside else FETCH_BASELINES * self._latency.fetch_baseline_ms + usual
+        late = LATE_BASELINES * usual * self._outliers.fleet_relative_latency + self._zone_latency.extra_ms(
+            endpoint
+        )
         soon = max(late, fetch)
         if method.retry_safety == RetrySafety.IDEMPOTENT and left - soon >= SECOND_TRY_BASELINES * usual:
             return soon
--- a/calicofall/routing/traffic.py
+++ b/calicofall/routing/traffic.py
@@ -28,7 +28,9 @@
 
     def update(self, now: float) -> None:
         """Measures anew."""
-        means = {kind: window.recent(now, MIN_SAMPLES, 30_000.0) for kind, window in self.latencies.items()}
+        means = {
+            kind: window.recent_mean(now, MIN_SAMPLES, 30_000.0) for kind, window in self.latencies.items()
+        }
         known = [mean for mean in means.values() if mean]
         self.by_kind = {kind: sum(known) / len(known) / mean for kind, mean in means.items() if mean}
 
@@ -58,7 +60,7 @@
         """Requests sent to all endpoints over 10 s."""
         return self.recent.count(now)
 
-    def even_count(self, now: float, endpoint: Endpoint) -> float:
+    def expected_count(self, now: float, endpoint: Endpoint) -> float:
         """What an endpoint would have been sent over SENT_SPAN_MS, had all been sent alike."""
         return self.sent.count(now) * self._placement.share_of(endpoint) * self._capacity.of(endpoint)
 
--- a/calicofall/simulator_adapter/host.py
+++ b/calicofall/simulator_adapter/host.py
@@ -12,7 +12,7 @@
 from calicofall.config.settings import NS_PER_MS, normalize_settings
 from calicofall.routing.actions import CloseConnections, PollEndpointList, SendGossip
 from calicofall.routing.request import Request
-from calicofall.routing.router import SLACK, Router
+from calicofall.routing.router import WAIT_TOLERANCE_MS, Router
 from calicofall.simulator_adapter.codec import (
     ANSWER_NOTES,
     CLIENT_RETRY,
@@ -166,7 +166,7 @@
                 self.put("MemoTo", action.peer, b64encode(action.message).decode())
         self.router.log_lines.clear()
         self.router.actions.clear()
-        if now + wait < self.tick_at - SLACK:
+        if now + wait < self.tick_at - WAIT_TOLERANCE_MS:
             self.tick_at = now + wait
             self.put("Remind", ns(wait), TICK)
 
--- a/calicofall/testbed/routing_simulation.py
+++ b/calicofall/testbed/routing_simulation.py
@@ -276,13 +276,13 @@
     def limits(self) -> dict[str, float]:
         """Return the sums of all routers' concurrency limits of the cache nodes and the origin."""
         return {
-            name: sum(getattr(router.policy, name).value for router in self.routers)
+            name: sum(getattr(router.policy, f"{name}_limit").value for router in self.routers)
             for name in ("fleet", "origin")
         }
 
     def flights(self) -> int:
         """Return how many requests all routers together have in flight."""
-        return round(sum(router.policy.fleet.held for router in self.routers))
+        return round(sum(router.policy.fleet_limit.in_flight for router in self.routers))
 
     def aside(self) -> float:
         """Return the share of all pairs of proxy and endpoint in which the endpoint is ejected."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -277,8 +277,8 @@
 
     def spacious(self) -> "Desk":
         """The module's limits are far off."""
-        for limit in (self.proxy.router.policy.fleet, self.proxy.router.policy.origin):
-            limit.value, limit.spare = 1000.0, 2_000_000.0
+        for limit in (self.proxy.router.policy.fleet_limit, self.proxy.router.policy.origin_limit):
+            limit.value, limit.unused_capacity = 1000.0, 2_000_000.0
         return self
 
     def client(self, room: int | None = None) -> Wire | None:
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -146,7 +146,7 @@
             client.feed(ask("read", key=7))
             line = desk.line()
             line.feed(reply())
-            desk.proxy.router.policy.fleet.spare = -1e9  # no room
+            desk.proxy.router.policy.fleet_limit.unused_capacity = -1e9  # no room
             client.feed(ask("order", key=8, value=b"x"))
             desk.loop.run(0.6)
             lines = [record for record in caplog.records if record.message == "rpc"]
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -67,14 +67,16 @@
 def test_retry_budget_counts_requests_within_the_window_only() -> None:
     budget = RetryBudget(TOLD)
     for now in range(20):
-        budget.taken.add(float(now))
-    assert [budget.free(500.0, 1.0)] * 2 == [True, True]
+        budget.requests.add(float(now))
+    assert [budget.allows(500.0, 1.0)] * 2 == [True, True]
     for _ in range(4):
-        assert budget.free(500.0, 1.0)
-        budget.spent.add(500.0)
-    assert not budget.free(500.0, 1.0)
-    assert not budget.free(1400.0, 1.0)  # the requests have left the window, two of the four would be allowed
-    assert budget.free(1600.0, 1.0)
+        assert budget.allows(500.0, 1.0)
+        budget.extra_attempts.add(500.0)
+    assert not budget.allows(500.0, 1.0)
+    assert not budget.allows(
+        1400.0, 1.0
+    )  # the requests have left the window, two of the four would be allowed
+    assert budget.allows(1600.0, 1.0)
 
 
 def test_retry_budget_is_spent_on_higher_priorities_first() -> None:
@@ -113,7 +115,7 @@
 
 
 def test_retry_budget_without_settings_is_always_free() -> None:
-    assert policy_of().retries.budget.free(0.0, 0.0)
+    assert policy_of().retries.budget.allows(0.0, 0.0)
 
 
 # Clocks
@@ -178,7 +180,9 @@
                 (now + took, request, "timeout" if late and decision.timeout_ms < 1500.0 else "completed")
             )
         policy.next_wakeup(now)
-    return sum(cache.trickle(now) < 1.0 for cache in policy.endpoints.caches.values()), policy.fleet.value
+    return sum(
+        cache.current_fraction(now) < 1.0 for cache in policy.endpoints.caches.values()
+    ), policy.fleet_limit.value
 
 
 def seventh(number: int, _cache: int) -> bool:
@@ -194,7 +198,7 @@
 def test_slow_endpoint_among_slow_readers_is_degraded() -> None:
     policy = policy_of(caps={"buffers": 10})
     reading(policy, lambda number, cache: cache == 3 or number % 7 == 0)
-    assert policy.endpoints.caches["c3"].trickle(15_000.0) < 1.0
+    assert policy.endpoints.caches["c3"].current_fraction(15_000.0) < 1.0
 
 
 def test_timeout_while_slow_readers_fill_the_buffers_is_the_latency_objective() -> None:
@@ -231,7 +235,7 @@
         sent.append(len(request.attempts))
         policy.next_wakeup(now)
     assert sum(sent[20:]) <= 1.25 * len(sent[20:])
-    assert not any(cache.trickle(now) < 1.0 for cache in policy.endpoints.caches.values())
+    assert not any(cache.current_fraction(now) < 1.0 for cache in policy.endpoints.caches.values())
 
 
 def test_failing_group_is_forgotten_and_others_do_not_suffer() -> None:
@@ -273,11 +277,11 @@
     router.apply_settings(0.0, after)
     policy, fresh = router.policy, RoutingPolicy(after, 1, 0.0)
     assert vars(policy.settings) == vars(fresh.settings)
-    assert policy.placement.places == fresh.placement.places
+    assert policy.placement.constraints == fresh.placement.constraints
     assert policy.quotas.rates == fresh.quotas.rates
     assert (
-        policy.retries.budget.spare,
-        policy.retries.budget.ratio,
+        policy.retries.budget.fixed_attempts,
+        policy.retries.budget.attempts_per_request,
         policy.settings.clock_error_ms,
         policy.settings.answer_buffers,
     ) == (0, 0.5, 700.0, 6)
@@ -317,8 +321,8 @@
     settings = SETTINGS | {"rules": SETTINGS["rules"] | rules, "caps": SETTINGS["caps"] | {"responseRoom": 9}}
     policy = RoutingPolicy(normalize_settings(settings), 1, 0.0)
     assert (
-        policy.retries.budget.spare,
-        policy.retries.budget.ratio,
+        policy.retries.budget.fixed_attempts,
+        policy.retries.budget.attempts_per_request,
         policy.settings.clock_error_ms,
         policy.settings.start_error_ms,
         policy.settings.answer_buffers,
@@ -332,7 +336,7 @@
     on_sockets, lines = settings_on_sockets(settings)
     policy = RoutingPolicy(normalize_settings(on_sockets), 1, 0.0)
     assert (
-        policy.retries.budget.spare,
+        policy.retries.budget.fixed_attempts,
         policy.settings.clock_error_ms,
         policy.settings.start_error_ms,
         policy.settings.answer_buffers,
@@ -378,14 +382,14 @@
         policy.on_endpoint_list(
             0.0, "full", 1, [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(caches)]
         )
-        assert policy.origin.value == pytest.approx(3.0 * caches / proxies if aside else starts)
+        assert policy.origin_limit.value == pytest.approx(3.0 * caches / proxies if aside else starts)
 
 
 @pytest.mark.parametrize(("late", "useful"), [(0.0, 500.0), (0.25, 875.0)])
 def test_useful_time_of_a_fetch_includes_the_value_of_late_answers(late: float, useful: float) -> None:
     methods = [method | {"late_gain": late} for method in fleet()["methods"]]
-    assert RoutingPolicy(fleet(methods=methods), 1, 0.0).settings.useful_ms == useful
-    assert RoutingPolicy(fleet(aside=True, methods=methods), 1, 0.0).settings.useful_ms == 500.0
+    assert RoutingPolicy(fleet(methods=methods), 1, 0.0).settings.max_useful_fetch_ms == useful
+    assert RoutingPolicy(fleet(aside=True, methods=methods), 1, 0.0).settings.max_useful_fetch_ms == 500.0
 
 
 # Rule 4 in a mass restart
@@ -397,7 +401,7 @@
     for number in range(1300):
         now = 10.0 * number
         if number == 1200:
-            before = policy.slow_start.carried
+            before = policy.slow_start.warm_request_rate
             policy.on_endpoint_list(
                 now, "delta", 2, [(f"c{i}", "z", "box", 0, "ready", None, now) for i in range(6)]
             )
@@ -406,4 +410,4 @@
             request.attempts[0].outcome, request.finished = "completed", True
             policy.on_attempt_result(now + 5.0, request, 0, 5.0, "hit", None)
         policy.next_wakeup(now)
-    assert 0.0 < policy.slow_start.carried <= 1.1 * before
+    assert 0.0 < policy.slow_start.warm_request_rate <= 1.1 * before
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -70,8 +70,8 @@
             }
         }
         self.proxy = Proxy(node, self.loop)
-        for limit in (self.proxy.router.policy.fleet, self.proxy.router.policy.origin):
-            limit.value, limit.spare = 1000.0, 2_000_000.0
+        for limit in (self.proxy.router.policy.fleet_limit, self.proxy.router.policy.origin_limit):
+            limit.value, limit.unused_capacity = 1000.0, 2_000_000.0
         self.proxy.upstreams.opens_ahead = False
         self.proxy.upstreams.close()
         self.proxy.listener = Listener(
@@ -602,7 +602,7 @@
     line.feed(reply(value)[:60_000])
     assert client.sent.startswith(b"$100000\r\n") and not sum(policy.outliers.resets.sums)
     line.abort()
-    assert sum(policy.outliers.resets.sums) == 1.0 and not policy.fleet.held
+    assert sum(policy.outliers.resets.sums) == 1.0 and not policy.fleet_limit.in_flight
     assert not client.open and not desk.proxy.active_requests and not desk.proxy.router.active_requests
 
 
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -137,15 +137,25 @@
     desk = Desk(caches=1)
     policy = desk.proxy.router.policy
     client, line = asked(desk)
-    assert policy.fleet.held == 1.0 == policy.endpoints.caches["c1"].held
+    assert policy.fleet_limit.in_flight == 1.0 == policy.endpoints.caches["c1"].in_flight
     data = reply(big(300_000), b"miss")
     line.feed(data[:100_000])
-    assert policy.fleet.held == 0.0 == policy.endpoints.caches["c1"].held == policy.origin.held
+    assert (
+        policy.fleet_limit.in_flight
+        == 0.0
+        == policy.endpoints.caches["c1"].in_flight
+        == policy.origin_limit.in_flight
+    )
     desk.loop.run(2.0)
     line.feed(data[100_000:])
     assert client.sent.endswith(b"\r\n")
     assert len(policy.cached_keys.holders[0]) == 1 and policy.latency.fetches.count(desk.proxy.now_ms()) == 1
-    assert policy.fleet.held == 0.0 == policy.endpoints.caches["c1"].held == policy.origin.held
+    assert (
+        policy.fleet_limit.in_flight
+        == 0.0
+        == policy.endpoints.caches["c1"].in_flight
+        == policy.origin_limit.in_flight
+    )
 
 
 def test_a_long_answer_behind_another_turn_waits_in_bounded_memory() -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -67,7 +67,9 @@
     desk.loop.run(3.0 * (1.0 + MAX_CLOCK_DRIFT) ** 2 + 0.01)
     desk.limits.refresh_if_due()
     assert desk.quota() == pytest.approx(500.0 / 4, rel=1e-3)
-    assert desk.proxy.router.policy.slow_start.told_rate * 1000.0 * 3.0 == pytest.approx(400.0 / 4, rel=1e-3)
+    assert desk.proxy.router.policy.slow_start.assigned_rate * 1000.0 * 3.0 == pytest.approx(
+        400.0 / 4, rel=1e-3
+    )
 
 
 def test_what_comes_here_is_asked_for_and_lapses_with_its_loan() -> None:
--- a/tests/test_outlier_consensus.py
+++ b/tests/test_outlier_consensus.py
@@ -478,7 +478,7 @@
         self.witnesses.wake()
 
     def part(self, name: str) -> float:
-        return min(1.0, self.proxy.router.policy.endpoints.caches[name].trickle(self.proxy.now_ms()))
+        return min(1.0, self.proxy.router.policy.endpoints.caches[name].current_fraction(self.proxy.now_ms()))
 
 
 def test_endpoint_ejected_by_one_proxy_alone_is_reinstated(caplog: pytest.LogCaptureFixture) -> None:
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -58,7 +58,7 @@
     policy, free = RoutingPolicy(bound(zones=zones, kinds=kinds), 1, 0.0), RoutingPolicy(fleet(), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, entries())
     free.on_endpoint_list(0.0, "full", 1, [entry for entry in entries() if entry[0] in wanted])
-    place = policy.placement.places["read"]
+    place = policy.placement.constraints["read"]
     for key in range(300):
         names = [cache.name for cache in policy.placement.ranking(key, place)]
         assert names == [cache.name for cache in free.placement.ranking(key)]
@@ -98,7 +98,7 @@
     opened = {
         cache.name
         for key in range(300)
-        for cache in policy.placement.ranking(key, policy.placement.places["read"])
+        for cache in policy.placement.ranking(key, policy.placement.constraints["read"])
     }
     assert opened == {"a1", "a2", "a3", "a4", "a5", "a9"}
 
@@ -127,4 +127,4 @@
     validate_settings(settings)
     validate_settings(SETTINGS)
     assert normalize_settings(settings)["methods"][0]["zones_open"] == ["a"]
-    assert RoutingPolicy(normalize_settings(SETTINGS), 1, 0.0).placement.within == {(None, None): []}
+    assert RoutingPolicy(normalize_settings(SETTINGS), 1, 0.0).placement.candidates == {(None, None): []}
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -9,7 +9,7 @@
 from calicofall.routing.actions import CloseConnections, LogLine, SendGossip
 from calicofall.routing.concurrency_limit import ConcurrencyLimit
 from calicofall.routing.decisions import Decision, Forward, Reject, Wait
-from calicofall.routing.endpoint import ANY_PLACE
+from calicofall.routing.endpoint import UNCONSTRAINED
 from calicofall.routing.gossip import encode_hint
 from calicofall.routing.policy import RoutingPolicy
 from calicofall.routing.request import Attempt
@@ -45,10 +45,14 @@
     policy.on_endpoint_list(0.0, "full", 1, [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(5)])
     owners = {send(policy, 0.0, rpc_for("read")).endpoint for _ in range(2)}
     assert len(owners) == 1
-    policy.origin.value, policy.origin.held, policy.origin.spare = 100.0, 60.0, 200_000.0
+    policy.origin_limit.value, policy.origin_limit.in_flight, policy.origin_limit.unused_capacity = (
+        100.0,
+        60.0,
+        200_000.0,
+    )
     owners |= {send(policy, 0.0, rpc_for("read")).endpoint for _ in range(3)}
     assert len(owners) == 1
-    policy.origin.held = 0
+    policy.origin_limit.in_flight = 0
     assert send(policy, 0.0, rpc_for("read")).endpoint not in owners
 
 
@@ -65,7 +69,7 @@
         policy.next_wakeup(now)
     assert policy.endpoints.caches["c3"].ejected
     assert not any(c.ejected for c in policy.endpoints.caches.values() if c.name != "c3")
-    assert policy.fleet.held < 10
+    assert policy.fleet_limit.in_flight < 10
 
 
 def test_client_retries_do_not_raise_the_quota_scale() -> None:
@@ -78,7 +82,7 @@
         request.client_retry = True
         policy.decide(now, request)
         policy.next_wakeup(now)
-    assert policy.quotas.scale == 1.0
+    assert policy.quotas.share_scale == 1.0
 
 
 @pytest.mark.parametrize(
@@ -159,7 +163,7 @@
                 policy.on_attempt_result(now + 30.0, request, 0, 30.0, "hit", None)
             policy.next_wakeup(now)
         policy.on_endpoint_list(20_500.0, "full", 2, entries)
-        policy.placement.rankings[50, ANY_PLACE] = [policy.endpoints.caches[f"c{i}"] for i in (39, 1, 2)]
+        policy.placement.rankings[50, UNCONSTRAINED] = [policy.endpoints.caches[f"c{i}"] for i in (39, 1, 2)]
         sent += send(policy, 21_000.0, rpc_for("read", 50, 21_000.0, 22_000.0)).endpoint == "c39"
     assert 0 < sent < 3.0 * 0.3 * 3000.0 * 60 * 0.005 / 40
 
@@ -177,7 +181,7 @@
         [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(5)]
         + [("o", "z", "origin", 0, "ready", None, 0.0)],
     )
-    policy.origin.acquire(0.0, held)
+    policy.origin_limit.add_in_flight(0.0, held)
     request, decision = rpc_for("read"), None
     for number in range(3):
         decision = policy.decide(number, request) if decision is None else decision
@@ -192,13 +196,13 @@
 def test_limit_update_with_low_use_does_not_grow_without_bound() -> None:
     """What was left unused looked like a want of room beside the grown limit: it grew to 1e35."""
     limit, chance = ConcurrencyLimit(0.0, 98, 8), Random(1)
-    limit.value, limit.tolerance, limit.spare = 3.0, 2.5, 100.0
+    limit.value, limit.tolerance, limit.unused_capacity = 3.0, 2.5, 100.0
     for now in range(0, 60_000, 250):
-        limit.latencies.add(now, 0.8)
-        limit.latencies.add(now, 0.8)
+        limit.relative_latencies.add(now, 0.8)
+        limit.relative_latencies.add(now, 0.8)
         if limit.request_capacity(now, chance.choice([0.75, 1.0])):
-            limit.acquire(now, 1.0)
-            limit.acquire(now + 60.0, -1.0)
+            limit.add_in_flight(now, 1.0)
+            limit.add_in_flight(now + 60.0, -1.0)
         limit.update(now)
     assert limit.value < 10.0
 
@@ -240,7 +244,7 @@
         news(policy, dict.fromkeys(policy.endpoints.caches, 800.0), 100.0 + number)
     sent = [send(policy, 200.0, rpc_for("read", key, 200.0, 900.0)).endpoint for key in range(4)]
     assert sent.count("o") >= 3
-    policy.origin.acquire(200.0, 20.0)
+    policy.origin_limit.add_in_flight(200.0, 20.0)
     assert send(policy, 200.0, rpc_for("read", 9, 200.0, 900.0)).endpoint != "o"
 
 
@@ -250,11 +254,11 @@
     for _ in range(64):
         policy.latency.windows["read"].add(100.0, 40.0)
     policy.next_wakeup(2100.0)
-    limit = policy.fleet.value
+    limit = policy.fleet_limit.value
     for now in range(2200, 4200, 50):
         news(policy, dict.fromkeys(policy.endpoints.caches, 400.0), float(now))
         policy.next_wakeup(float(now))
-    assert policy.fleet.value < limit / 2
+    assert policy.fleet_limit.value < limit / 2
 
 
 @pytest.mark.parametrize(
@@ -267,7 +271,7 @@
     request = rpc_for(method, 7, 0.0, 900.0)
     request.estimated_work_ms, request.write = work, False
     assert send(policy, 0.0, request).endpoint.startswith(to)
-    policy.origin.acquire(0.0, 20.0)  # an origin without room to spare takes none
+    policy.origin_limit.add_in_flight(0.0, 20.0)  # an origin without room to spare takes none
     request = rpc_for("read", 8, 0.0, 900.0)
     request.estimated_work_ms = 600.0
     assert send(policy, 0.0, request).endpoint != "o"
@@ -279,24 +283,24 @@
 def test_on_gossip_with_a_mangled_message_changes_nothing(data: bytes) -> None:
     policy = talking()
     policy.on_gossip(1.0, 3, data)
-    assert not policy.gossip.rates
+    assert not policy.gossip.peer_requests
     assert all(cache.wait_count == 0.0 for cache in policy.endpoints.caches.values())
 
 
 def test_gossip_without_the_capability_is_neither_sent_nor_read() -> None:
     policy = RoutingPolicy(fleet(aside=True, proxies=8), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, [("c0", "z", "box", 0, "ready", None, 0.0)])
-    policy.gossip.note_wait(10.0, policy.endpoints.caches["c0"], 50.0)
+    policy.gossip.record_wait(10.0, policy.endpoints.caches["c0"], 50.0)
     assert not any(isinstance(action, SendGossip) for action in policy.next_wakeup(1000.0)[1])
     news(policy, {"c0": 800.0}, 1000.0)
-    assert not policy.gossip.rates
+    assert not policy.gossip.peer_requests
 
 
 @pytest.mark.parametrize(("price", "most"), [(0.01, 55), (0.1, 12), (1.0, 2)])
 def test_gossip_with_a_higher_price_is_sent_less_often(price: float, most: int) -> None:
     policy, sent = talking(costs={"peer": price}), 0
     for now in range(0, 10_000, 20):
-        policy.gossip.note_wait(now, policy.endpoints.caches["c1"], 50.0)
+        policy.gossip.record_wait(now, policy.endpoints.caches["c1"], 50.0)
         sent += any(isinstance(action, SendGossip) for action in policy.next_wakeup(now)[1])
     assert most / 2 <= sent <= most
 
@@ -304,7 +308,7 @@
 def test_gossip_reaches_all_peers_and_never_oneself() -> None:
     policy, peers = talking(), set()
     for now in range(0, 60_000, 250):
-        policy.gossip.note_wait(now, policy.endpoints.caches["c1"], 50.0)
+        policy.gossip.record_wait(now, policy.endpoints.caches["c1"], 50.0)
         tells = [action for action in policy.next_wakeup(now)[1] if isinstance(action, SendGossip)]
         peers.update(tell.peer for tell in tells)
         assert len(tells) <= 3
@@ -320,23 +324,23 @@
     for peer in range(1, 5):
         news(policy, {}, 3900.0, rate=100, peer=peer)
     policy.next_wakeup(4000.0)
-    assert 2.0 < policy.quotas.scale < 2.9
-    policy.update_at = 0.0
+    assert 2.0 < policy.quotas.share_scale < 2.9
+    policy.next_update_at = 0.0
     policy.next_wakeup(40_000.0)
-    assert policy.quotas.scale == 1.0  # old news is forgotten, and nothing came
+    assert policy.quotas.share_scale == 1.0  # old news is forgotten, and nothing came
 
 
 def test_origin_baseline_found_in_an_overload_does_not_raise_the_limit() -> None:
     """The origin was slow from the first second: 264 ms passed for usual, and it was stopped."""
     policy = talking()
-    limit = policy.origin.value
+    limit = policy.origin_limit.value
     for now in range(0, 8000, 50):
         policy.origin_protection.on_direct_result(
             now, rpc_for("read", 7, now - 400.0, now + 100.0), "completed", 400.0
         )
-        policy.origin.short = True
+        policy.origin_limit.capacity_denied = True
         policy.next_wakeup(now)
-    assert policy.origin.value < limit / 2
+    assert policy.origin_limit.value < limit / 2
 
 
 def test_unconnected_origin_makes_the_request_wait() -> None:
@@ -355,9 +359,9 @@
     for now in range(0, 60_000, 10):
         for end in [end for end in going if end <= now]:
             going.remove(end)
-            limit.acquire(now, -1.0)
+            limit.add_in_flight(now, -1.0)
         if chance.random() < 0.1 and limit.request_capacity(now, 1.0):
-            limit.acquire(now, 1.0)
+            limit.add_in_flight(now, 1.0)
             going.append(now + 100)
         held += len(going) * 10
     assert 0.12 < held / 60_000 < 0.22
@@ -484,11 +488,11 @@
     """A latency objective of 130 ms ejected caches with a single fetch out, from the first second on."""
     policy = busy()
     cache = policy.endpoints.caches["c3"]
-    policy.latency.fetch_ms, policy.settings.latency_objective_ms = 60.0, 130.0
-    cache.held, cache.last_heard_at, cache.admitted_fraction = 1, 10_000.0, 1.0
+    policy.latency.fetch_baseline_ms, policy.settings.latency_objective_ms = 60.0, 130.0
+    cache.in_flight, cache.last_heard_at, cache.admitted_fraction = 1, 10_000.0, 1.0
     assert policy.outliers.admits(10_300.0, cache, policy.chance)
     assert not cache.ejected
-    cache.held = 5
+    cache.in_flight = 5
     policy.outliers.admits(10_300.0, cache, policy.chance)
     assert cache.ejected
 
@@ -528,7 +532,7 @@
     name = send(policy, 0.0, request).endpoint
     policy.on_endpoint_list(10.0, "delta", 2, [(name, "z", "box", 0, "gone", None, 0.0)])
     request.attempts[0].outcome = "reset"
-    policy.endpoints.caches[name].held = 1
+    policy.endpoints.caches[name].in_flight = 1
     decision = policy.on_attempt_result(20.0, request, 0, 20.0, None, None)
     policy.on_endpoint_list(
         30.0, "full", 3, [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(3, 6)]
@@ -630,11 +634,11 @@
     """Requests lived for 400 ms, limits fell once a second: the origin had jammed before the second fall."""
     method = fleet()["methods"][0] | {"soft_deadline": 130.0}
     policy = RoutingPolicy(fleet(methods=[method]), 1, 0.0)
-    policy.origin.value = 80.0
+    policy.origin_limit.value = 80.0
     for now in range(0, 1300, 5):
-        policy.origin.latencies.add(now, 8.0)
+        policy.origin_limit.relative_latencies.add(now, 8.0)
         policy.next_wakeup(now)
-    assert policy.origin.value < 8.0
+    assert policy.origin_limit.value < 8.0
 
 
 def test_no_more_than_a_third_is_ejected_for_latency() -> None:
@@ -648,7 +652,7 @@
         sum(cache.admitted_fraction < 0.5 for cache in policy.endpoints.caches.values()) == 4
     )  # the fourth makes it a third
     assert policy.latency.baselines["read"] < 500.0 / 12.0
-    assert policy.fleet.tolerance == 3.0
+    assert policy.fleet_limit.tolerance == 3.0
 
 
 def test_read_of_an_unknown_key_counts_at_the_origin_by_its_fetch_likelihood() -> None:
@@ -656,20 +660,20 @@
     policy = busy()
     for number in range(200):
         policy.fetch_likelihood.windows[0].add(6000.0, number % 4 == 0)
-    policy.update_at = policy.measure_at = 6000.0
+    policy.next_update_at = policy.next_measurement_at = 6000.0
     policy.next_wakeup(6000.0)
     request, write = (
         rpc_for("read", key=999, arrived=6000.0, until=6900.0),
         rpc_for("save", 998, 6000.0, 6900.0),
     )
-    held = policy.origin.held
+    held = policy.origin_limit.in_flight
     assert isinstance(send(policy, 6000.0, request), Forward)
-    assert policy.origin.held - held < 0.6
+    assert policy.origin_limit.in_flight - held < 0.6
     request.attempts[0].outcome, request.finished = "completed", True
     policy.on_attempt_result(6010.0, request, 0, 10.0, "hit", None)
-    assert policy.origin.held == held
+    assert policy.origin_limit.in_flight == held
     assert isinstance(send(policy, 6010.0, write), Forward)
-    assert policy.origin.held == held + 1.0
+    assert policy.origin_limit.in_flight == held + 1.0
 
 
 def test_unknown_keys_in_a_large_fleet_count_by_their_fetch_likelihood() -> None:
@@ -682,7 +686,7 @@
     assert policy.traffic.low
     sent = [type(send(policy, 3000.0 + i, rpc_for("read", 1000 + i, 3000.0 + i, 3400.0))) for i in range(9)]
     assert sent == [Forward] * 9
-    assert 0.8 < policy.origin.held < 1.0
+    assert 0.8 < policy.origin_limit.in_flight < 1.0
 
 
 def sparse(caches: int = 60) -> RoutingPolicy:
@@ -703,19 +707,19 @@
 def test_time_outs_of_impatient_clients_degrade_a_slow_endpoint() -> None:
     """Clients left after 200 ms, 300 ejected a cache: half of what it got timed out."""
     policy = sparse()
-    policy.outliers.common_latency, cache = 1.5, policy.endpoints.caches["c0"]
+    policy.outliers.fleet_relative_latency, cache = 1.5, policy.endpoints.caches["c0"]
     for now in (3100.0, 3400.0, 3700.0):
         request = rpc_for("read", 7, now, now + 200.0)
         request.attempts.append(Attempt("c0", now, 0.0, "timeout"))
-        cache.held = 1
+        cache.in_flight = 1
         policy.on_attempt_result(now + 200.0, request, 0, 200.0, None, None)
-    assert cache.trickle(3900.0) <= 0.25
+    assert cache.current_fraction(3900.0) <= 0.25
 
 
 def test_only_warm_endpoint_that_is_late_is_not_sent_everything() -> None:
     """Two of a hot key's three were cold: the third got all, and four of five timed out."""
     policy = sparse(3)
-    policy.fleet.value, policy.fleet.spare = 1000.0, 2_000_000.0
+    policy.fleet_limit.value, policy.fleet_limit.unused_capacity = 1000.0, 2_000_000.0
     for name in ("c0", "c1", "c2"):
         policy.endpoints.caches[name].admitted_fraction, policy.endpoints.caches[name].fraction_set_at = (
             1 / 16,
@@ -728,7 +732,7 @@
         decisions.append(type(send(policy, 3000.0, request)))
         if request.attempts:
             request.attempts[0].outcome, request.finished = "completed", True
-            policy.endpoints.caches[request.attempts[0].endpoint].held -= 1
+            policy.endpoints.caches[request.attempts[0].endpoint].in_flight -= 1
     assert 10 < decisions.count(Forward) < 60
     assert decisions.count(Reject) == 200 - decisions.count(Forward)
 
@@ -737,7 +741,7 @@
     """Fetches waited in a few caches' queues; the origin's limit fell to a quarter while it idled."""
     policy = sparse()
     policy.endpoints.caches["c1"].started_at = 2900.0
-    limit = policy.origin.value
+    limit = policy.origin_limit.value
     for now in range(3000, 4500, 25):
         for name, took, note in (
             ("c0", 400.0, "hit"),
@@ -748,10 +752,10 @@
         ):
             request = rpc_for("read", now, now - took, now + 100.0)
             request.attempts.append(Attempt(name, now - took, 0.0, "completed"))
-            request.finished, policy.endpoints.caches[name].held = True, 1
+            request.finished, policy.endpoints.caches[name].in_flight = True, 1
             policy.on_attempt_result(float(now), request, 0, took, note, None)
         policy.next_wakeup(float(now))
-    assert policy.origin.value >= limit
+    assert policy.origin_limit.value >= limit
 
 
 def test_read_times_out_while_another_endpoint_can_still_help() -> None:
@@ -782,7 +786,7 @@
     def end(name: str, sent: float, now: float, outcome: str) -> None:
         request = rpc_for("read", 7, sent, now + 1.0)
         request.attempts.append(Attempt(name, sent, 0.0, outcome))
-        request.finished, policy.endpoints.caches[name].held = outcome == "completed", 1
+        request.finished, policy.endpoints.caches[name].in_flight = outcome == "completed", 1
         policy.on_attempt_result(now, request, 0, now - sent, "hit" if outcome == "completed" else None, None)
 
     def aside(zone: str) -> int:
@@ -808,16 +812,16 @@
 def test_errors_with_low_traffic_shrink_the_origin_limit() -> None:
     """Caches failed what they could not fetch; the errors shrank the wrong limit, and the jam stayed."""
     policy = sparse()
-    policy.origin.value = limit = (
+    policy.origin_limit.value = limit = (
         3.0 * len(policy.placement.usable) / policy.deployment.proxies
     )  # where it stood, over its floor
     for now in range(3000, 6000, 50):
         request = rpc_for("read", now, now - 150.0, now + 100.0)
         request.attempts.append(Attempt(f"c{now // 50 % 60}", now - 150.0, 0.1, "error"))
-        request.finished, policy.endpoints.caches[request.attempts[0].endpoint].held = True, 1
+        request.finished, policy.endpoints.caches[request.attempts[0].endpoint].in_flight = True, 1
         policy.on_attempt_result(float(now), request, 0, 150.0, None, None)
         policy.next_wakeup(float(now))
-    assert policy.origin.value < limit / 2
+    assert policy.origin_limit.value < limit / 2
 
 
 def test_fetch_likelihood_is_measured_apart_for_warming_up_endpoints() -> None:
@@ -831,7 +835,7 @@
         request = rpc_for("read", 900 + number)
         request.attempts.append(Attempt(cache.name, 3040.0, 0.5, "completed"))
         policy.observer.observe(3100.0, request, 0, 60.0, "fetched", None)
-    policy.measure_at = policy.update_at = 3200.0
+    policy.next_measurement_at = policy.next_update_at = 3200.0
     policy.next_wakeup(3200.0)
     assert policy.fetch_likelihood.likelihood[0] < 0.2
     assert policy.fetch_likelihood.likelihood[1] > 0.9
@@ -857,11 +861,11 @@
         took = 5.0 if now < 4000 else 15.0
         request = rpc_for("read", 7, now - took, now + 500.0)
         request.attempts.append(Attempt(f"c{now // 10 % 4}", now - took, 0.0, "completed"))
-        request.finished, policy.endpoints.caches[request.attempts[0].endpoint].held = True, 1
+        request.finished, policy.endpoints.caches[request.attempts[0].endpoint].in_flight = True, 1
         policy.on_attempt_result(float(now), request, 0, took, "hit", None)
         policy.next_wakeup(float(now))
     assert policy.latency.baselines["read"] == 5.0
-    assert policy.fleet.decreased_at == 0.0
+    assert policy.fleet_limit.decreased_at == 0.0
     assert all(cache.admitted_fraction == 1.0 for cache in policy.endpoints.caches.values())
 
 
@@ -871,8 +875,8 @@
     policy.on_endpoint_list(
         0.0, "full", 1, [(f"c{i}", "a", "box", 0, "ready", None, 0.0) for i in range(caches)]
     )
-    policy.fleet.value = policy.origin.value = 100.0
-    policy.fleet.spare = policy.origin.spare = 1e6
+    policy.fleet_limit.value = policy.origin_limit.value = 100.0
+    policy.fleet_limit.unused_capacity = policy.origin_limit.unused_capacity = 1e6
     return policy
 
 
@@ -916,7 +920,7 @@
     """In the first seconds of many proxies the queues of a few hot caches passed for a jam of the origin: a
     quarter of all requests was refused for its limit, which stood idle."""
     policy = many()
-    policy.origin.short = True
+    policy.origin_limit.capacity_denied = True
     for number in range(40):
         now = 100.0 * number
         request = rpc_for("read", 3, now, now + 400.0)
@@ -926,8 +930,8 @@
         policy.on_attempt_result(now + 300.0, request, 0, 300.0, None, None)
         policy.next_wakeup(now + 300.0)
     assert policy.latency.baselines["read"] is None
-    assert policy.origin.decreased_at == 0.0
-    assert policy.origin.value >= 100.0
+    assert policy.origin_limit.decreased_at == 0.0
+    assert policy.origin_limit.value >= 100.0
 
 
 def test_recovery_of_an_endpoint_over_its_even_load_is_slower() -> None:
@@ -944,23 +948,23 @@
     for name in ("c1", "c2"):
         policy.outliers.eject(now, policy.endpoints.caches[name], 1 / 4, "pace 9.0")
     crowded, plain = policy.endpoints.caches["c1"], policy.endpoints.caches["c2"]
-    assert plain.trickle(now + 5000.0) == pytest.approx(0.5)
+    assert plain.current_fraction(now + 5000.0) == pytest.approx(0.5)
     policy.on_endpoint_list(
         now, "delta", 2, [("c3", "a", "box", 0, "ready", 1.0, now - 5000.0)]
     )  # begins cold
     for _ in range(30):
         policy.endpoints.caches["c3"].sent.add(now)
     policy.outliers.eject(now, policy.endpoints.caches["c3"], 1 / 4, "")
-    assert policy.endpoints.caches["c3"].trickle(now + 5000.0) == pytest.approx(0.5)
-    assert crowded.trickle(now + 5000.0) < 0.35
-    assert crowded.trickle(now + 18_000.0) > 0.45
+    assert policy.endpoints.caches["c3"].current_fraction(now + 5000.0) == pytest.approx(0.5)
+    assert crowded.current_fraction(now + 5000.0) < 0.35
+    assert crowded.current_fraction(now + 18_000.0) > 0.45
     few = many(4)  # in its first seconds it takes itself for one that meets caches seldom: G 0.83 to 0.48
     few.traffic.low = True
     for _ in range(30):
         few.traffic.sent.add(now)
         few.endpoints.caches["c1"].sent.add(now)
     few.outliers.eject(now, few.endpoints.caches["c1"], 1 / 4, "")
-    assert few.endpoints.caches["c1"].trickle(now + 5000.0) == pytest.approx(0.5)
+    assert few.endpoints.caches["c1"].current_fraction(now + 5000.0) == pytest.approx(0.5)
 
 
 @pytest.mark.parametrize("outcome", ["error", "timeout"])
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -889,7 +889,7 @@
 def test_messages_between_proxies_are_not_carried_on_sockets(tmp_path: Path) -> None:
     caps = SETTINGS["caps"] | {"peerMessages": True}
     desk = Desk(caps=caps)
-    assert desk.proxy.router.policy.gossip.peers == 0
+    assert desk.proxy.router.policy.gossip.peer_count == 0
     path = tmp_path / "node.json"
     path.write_text(
         json.dumps(
--- a/tests/test_rate_slots.py
+++ b/tests/test_rate_slots.py
@@ -315,9 +315,9 @@
         client.feed(ask("read", key=5))
     desk.loop.run(0.05)
     policy = desk.proxy.router.policy
-    assert policy.origin.turn > desk.proxy.now_ms()
+    assert policy.origin_limit.next_start_at > desk.proxy.now_ms()
     assert len([c for c in desk.proxy.active_requests.values() if c.command is not None]) <= 1
     assert desk.proxy.metrics.attempts_sent - sends <= 1
     untold = Desk()
     assert untold.proxy.router.origin_slots is None
-    assert untold.proxy.router.policy.origin.turn == 0.0
+    assert untold.proxy.router.policy.origin_limit.next_start_at == 0.0
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -669,7 +669,8 @@
     limit = version / "calicofall" / "routing" / "concurrency_limit.py"
     limit.write_text(
         limit.read_text().replace(
-            "        return now >= self.turn and self.request_capacity(now, fraction)", "        return False"
+            "        return now >= self.next_start_at and self.request_capacity(now, fraction)",
+            "        return False",
         )
     )
     command = [sys.executable, "-m", "calicofall", "replay", str(tmp_path), "--with", str(version)]
--- a/tests/test_routing_components.py
+++ b/tests/test_routing_components.py
@@ -19,7 +19,7 @@
 )
 from calicofall.routing.cached_keys import FetchLikelihood, KeyRequestCounts, RecentlyCachedKeys
 from calicofall.routing.decisions import Fail, Reject
-from calicofall.routing.endpoint import ANY_PLACE, Endpoint
+from calicofall.routing.endpoint import UNCONSTRAINED, Endpoint
 from calicofall.routing.endpoint_table import EndpointTable
 from calicofall.routing.latency import LatencyBaselines, ZoneLatency
 from calicofall.routing.list_polling import ListPolling
@@ -27,7 +27,7 @@
 from calicofall.routing.request import Attempt, AttemptOutcome, RetrySafety
 from calicofall.routing.retry_policy import RetryPolicy, is_repeat_safe
 from calicofall.routing.settings import Deployment, MethodSettings, RoutingSettings
-from calicofall.routing.tenant_quota import BURST_REQUESTS, TenantQuotas, shares_of
+from calicofall.routing.tenant_quota import BURST_REQUESTS, TenantQuotas, quota_shares
 
 READ, SAVE, ORDER = (MethodSettings.of(method) for method in fleet()["methods"])
 
@@ -142,7 +142,7 @@
     quotas = TenantQuotas(0.0, {"a": 0.01}, Deployment(fleet()), Random(1))
     quotas.buckets["a"] = [BURST_REQUESTS, 0.0]
 
-    quotas.apply_settings(500.0, shares_of([{"name": "a", "quota": 10.0}, {"name": "b"}], 2))
+    quotas.apply_settings(500.0, quota_shares([{"name": "a", "quota": 10.0}, {"name": "b"}], 2))
 
     assert quotas.rates == {"a": 0.005, "b": 0.0}
     assert quotas.buckets == {"a": [BURST_REQUESTS, 0.0], "b": [0.0, 500.0]}
@@ -206,17 +206,17 @@
         for _ in range(16):
             baselines.add(now, "read", latency)
 
-    assert baselines.of("read") is None
+    assert baselines.baseline_ms("read") is None
     baselines.update(9000.0, 500.0)
-    assert baselines.of("read") == 40.0
+    assert baselines.baseline_ms("read") == 40.0
     baselines.update(500_000.0, 500.0)
-    assert baselines.of("read") == 40.0
-    assert baselines.known() == {"read": 40.0}
+    assert baselines.baseline_ms("read") == 40.0
+    assert baselines.measured() == {"read": 40.0}
 
 
 def test_latency_baselines_apply_methods_forgets_those_that_are_gone() -> None:
     baselines = LatencyBaselines(["read", "save"], 500.0)
-    baselines.alias("read", "read-1")
+    baselines.add_alias("read", "read-1")
 
     baselines.apply_methods(["read-1", "order"])
 
@@ -246,7 +246,7 @@
 def test_endpoint_table_full_list_removes_what_it_does_not_name() -> None:
     table = table_of()
     table.apply_list(0.0, False, [entry("c1"), entry("c2")])
-    table.caches["c2"].held = 1  # a request is in flight there
+    table.caches["c2"].in_flight = 1  # a request is in flight there
 
     table.apply_list(10.0, False, [entry("c3")])
 
@@ -273,7 +273,7 @@
 
     placement.refresh(0.0, endpoints[:-1], {one.name: 1.0 for one in endpoints[:-1]})
 
-    moved = {key for key, owner in before.items() if placement.rank(key, ANY_PLACE)[0].name != owner}
+    moved = {key for key, owner in before.items() if placement.rank(key, UNCONSTRAINED)[0].name != owner}
     assert moved == {key for key, owner in before.items() if owner == "c5"}
 
 
@@ -282,7 +282,11 @@
     endpoint.degrade(1000.0, 1 / 4, 1 / 4)
 
     assert endpoint.ejected
-    assert [endpoint.trickle(1000.0 + after) for after in (0.0, 5000.0, 10_000.0)] == [0.25, 0.5, 1.0]
+    assert [endpoint.current_fraction(1000.0 + after) for after in (0.0, 5000.0, 10_000.0)] == [
+        0.25,
+        0.5,
+        1.0,
+    ]
 
 
 # Retries
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -190,7 +190,9 @@
     assert has_no_place(order)
     policy = RoutingPolicy(normalize_settings(restricted | {"me": 0}), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, [("c1", "a", "box", 0, "ready", 1.0, 0.0)])
-    assert [len(policy.placement.within[policy.placement.places[name]]) for name in ("read", "order")] == [
+    assert [
+        len(policy.placement.candidates[policy.placement.constraints[name]]) for name in ("read", "order")
+    ] == [
         1,
         0,
     ]
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -566,7 +566,7 @@
 def test_proxy_with_a_snapshot_starts_from_the_learned_state(tmp_path: Path) -> None:
     first = desk_with_start_settings(snapshot=str(tmp_path)).proxy
     policy = first.router.policy
-    policy.fleet.value = 40.0
+    policy.fleet_limit.value = 40.0
     policy.latency.baselines["read"] = 9.0
     policy.endpoints.caches["c1"].admitted_fraction = 0.125
     policy.endpoints.caches["c1"].fraction_set_at = first.now_ms()
@@ -575,7 +575,7 @@
     first.snapshot_store.write(first.encode_snapshot())
     second = desk_with_start_settings(snapshot=str(tmp_path)).proxy
     again = second.router.policy
-    assert again.fleet.value == 20.0
+    assert again.fleet_limit.value == 20.0
     assert again.latency.baselines["read"] == 9.0
     assert again.endpoints.caches["c1"].ejected
     assert second.upstreams.endpoint_names == first.upstreams.endpoint_names
@@ -692,7 +692,7 @@
     assert proxy.discovery.schedule.grid is None
     assert proxy.connection_quotas.handshakes is None
     assert proxy.connection_quotas.most is None
-    assert proxy.router.policy.slow_start.told_rate == 0.0
+    assert proxy.router.policy.slow_start.assigned_rate == 0.0
     assert parse_startup_settings({"settings": SETTINGS}) == {}
 
 
--- a/tests/test_state_schema.py
+++ b/tests/test_state_schema.py
@@ -141,7 +141,7 @@
 def test_encode_state_without_a_known_attribute_raises_unsupported_state_error() -> None:
     """An attribute that was renamed, but not in the schema, is named."""
     router = live_router()
-    del router.policy.retries.budget.spent
+    del router.policy.retries.budget.extra_attempts
 
     with pytest.raises(UnsupportedStateError, match="a Budget lacks spent"):
         encode_state(router)
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -25,8 +25,8 @@
 def answered(policy: RoutingPolicy, now: float, name: str, took: float, outcome: str = "completed") -> None:
     request = rpc_for("read", int(now), now - took, now + 500.0)
     request.attempts.append(Attempt(name, now - took, outcome=outcome))
-    policy.endpoints.caches[name].held += 1
-    policy.fleet.acquire(now - took, 1.0)
+    policy.endpoints.caches[name].in_flight += 1
+    policy.fleet_limit.add_in_flight(now - took, 1.0)
     request.finished = True
     policy.on_attempt_result(now, request, 0, took, "hit", None)
 
@@ -49,7 +49,7 @@
     assert all(policy.zone_latency.extra_ms(cache) > 150.0 and not cache.ejected for cache in behind)
     decisions = [send(policy, 6000.0, rpc_for("read", key, 6000.0, 7000.0)) for key in range(4000, 4400)]
     sends = [one.endpoint for one in decisions if isinstance(one, Forward)]
-    policy.fleet.held = 0.0
+    policy.fleet_limit.in_flight = 0.0
     owners = sum(policy.placement.ranking(key)[0].zone == "b" for key in range(4000, 4400))
     assert 0 < sum(name in ("c1", "c4", "c7") for name in sends) < owners / 2
     answered(policy, 6001.0, "c1", 20.0)
@@ -73,28 +73,30 @@
     for now in range(0, 4000, 20):
         policy.origin_protection.on_direct_result(now, rpc_for("read", now), "completed", 20.0)
     slow_way(policy)
-    before = policy.origin.value
+    before = policy.origin_limit.value
     for now in range(6000, 9000, 20):
         policy.origin_protection.on_direct_result(now, rpc_for("read", now), "completed", 220.0)
         policy.next_wakeup(now)
-    assert policy.origin.value >= before
-    policy.origin.held, request = 0.0, rpc_for("read", 5, 9000.0, 9900.0)
+    assert policy.origin_limit.value >= before
+    policy.origin_limit.in_flight, request = 0.0, rpc_for("read", 5, 9000.0, 9900.0)
     policy._forward(9000.0, request, policy.endpoints.direct_origin, 1.0)
-    assert policy.origin.held < 0.3  # most of that time it is on the way, and no load of the origin
+    assert (
+        policy.origin_limit.in_flight < 0.3
+    )  # most of that time it is on the way, and no load of the origin
 
 
 def test_late_fetches_lower_the_floor_of_the_origin_limit() -> None:
     """Floors of many proxies added up to a jam that served nobody: fetches took 150 ms of 150 all day."""
     policy = aside(proxies=3)
-    floor = policy.origin.floor
+    floor = policy.origin_limit.floor
     for now in range(0, 10_000, 20):
-        policy.origin.latencies.add(now, 5.0)
+        policy.origin_limit.relative_latencies.add(now, 5.0)
         policy.next_wakeup(now)
-    assert floor / 8.0 <= policy.origin.value < 0.3 * floor
+    assert floor / 8.0 <= policy.origin_limit.value < 0.3 * floor
     for now in range(10_000, 60_000, 50):
-        policy.origin.latencies.add(now, 0.5)
+        policy.origin_limit.relative_latencies.add(now, 0.5)
         policy.next_wakeup(now)
-    assert policy.origin.floor == floor
+    assert policy.origin_limit.floor == floor
 
 
 def test_fetch_past_the_objective_rejects_the_client_and_goes_on() -> None:
@@ -130,13 +132,13 @@
 def test_retry_after_an_origin_overload_goes_only_where_the_key_is_cached() -> None:
     """ljubljana-main overload: each went to a neighbour that had to fetch it, 2.3 sends a request."""
     policy = aside()
-    policy.traffic.low, policy.origin.decreased_at = False, 900.0
+    policy.traffic.low, policy.origin_limit.decreased_at = False, 900.0
     first, second, third = policy.placement.ranking(7)
     for holder, wanted in ((None, Reject), (third, Forward)):
         if holder is not None:
             policy.cached_keys.holders[0].add((7, holder.name))
         request = rpc_for("read", 7, 1000.0, 2000.0)
-        policy.origin.held = 1000.0  # no room to spare
+        policy.origin_limit.in_flight = 1000.0  # no room to spare
         assert send(policy, 1000.0, request).endpoint == first.name
         request.attempts[0].outcome = "full"
         decision = policy.on_attempt_result(1001.0, request, 0, 1.0, None, None)
@@ -173,7 +175,7 @@
     policy.on_endpoint_list(0.0, "full", 1, [entry for entry in entries(30) if entry != ORIGIN])
     for now in range(0, 5000, 10):  # a quarter of all is bound to a third of the caches
         send(policy, now, rpc_for("bound" if now % 40 == 0 else "read", now, now, now + 900.0))
-        policy.fleet.held = 0.0
+        policy.fleet_limit.in_flight = 0.0
         policy.next_wakeup(now)
     owners = [policy.placement.ranking(key)[0].zone for key in range(3000)]
     assert 0.05 < owners.count("a") / 3000 < 0.17  # a third before
@@ -224,9 +226,9 @@
     values = []
     for now in range(0, 12_000, 10):
         policy.latency.windows["read"].add(now, 400.0)
-        policy.fleet.latencies.add(now, 1.0)
-        policy.fleet.short = True
+        policy.fleet_limit.relative_latencies.add(now, 1.0)
+        policy.fleet_limit.capacity_denied = True
         policy.next_wakeup(now)
-        values.append(policy.fleet.value)
-    assert policy.fleet.tolerance < 1.0
+        values.append(policy.fleet_limit.value)
+    assert policy.fleet_limit.tolerance < 1.0
     assert values[-1] < values[400]
