--- a/calicofall/recording/router_access.py
+++ b/calicofall/recording/router_access.py
@@ -21,11 +21,11 @@
     placement = router.policy.placement
     ranking = placement.ranking
 
-    def observed(key: int, place: PlacementConstraint = UNCONSTRAINED) -> list[Endpoint]:
-        is_new = (key, place) not in placement.rankings
-        found = ranking(key, place)
+    def observed(key: int, constraint: PlacementConstraint = UNCONSTRAINED) -> list[Endpoint]:
+        is_new = (key, constraint) not in placement.rankings
+        found = ranking(key, constraint)
         if is_new:
-            observe(key, place, [endpoint.name for endpoint in found])
+            observe(key, constraint, [endpoint.name for endpoint in found])
         return found
 
     placement.ranking = observed
@@ -39,12 +39,12 @@
     placement = router.policy.placement
     ranking = placement.ranking
 
-    def recalled(key: int, place: PlacementConstraint = UNCONSTRAINED) -> list[Endpoint]:
-        names = recorded.get((key, place))
-        if (key, place) not in placement.rankings and names is not None:
+    def recalled(key: int, constraint: PlacementConstraint = UNCONSTRAINED) -> list[Endpoint]:
+        names = recorded.get((key, constraint))
+        if (key, constraint) not in placement.rankings and names is not None:
             known = [endpoints.caches[name] for name in names if name in endpoints.caches]
-            placement.rankings[key, place] = known
-        return ranking(key, place)
+            placement.rankings[key, constraint] = known
+        return ranking(key, constraint)
 
     placement.ranking = recalled
 
--- a/calicofall/routing/placement.py
+++ b/calicofall/routing/placement.py
@@ -40,18 +40,18 @@
         self.rankings: dict[tuple[int, PlacementConstraint], list[Endpoint]] = {}
         self.ranking = self.rank  # recording and replay wrap it
 
-    def rank(self, key: int, place: PlacementConstraint = UNCONSTRAINED) -> list[Endpoint]:
+    def rank(self, key: int, constraint: PlacementConstraint = UNCONSTRAINED) -> list[Endpoint]:
         """The key's best endpoints in a place, best first; kept until a weight changes."""
-        ranking = self.rankings.get((key, place))
+        ranking = self.rankings.get((key, constraint))
         if ranking is None:
             point = hash_point(key.to_bytes(8))
-            within = self.candidates[place]
+            within = self.candidates[constraint]
             scores = [
                 (log(1.0 - point * salt % HASH_MODULUS / HASH_MODULUS) / weight, number)
                 for number, (salt, weight, _) in enumerate(within)
             ]
             ranking = [within[number][2] for _, number in nsmallest(REPLICAS, scores)]
-            self.rankings[key, place] = ranking
+            self.rankings[key, constraint] = ranking
         return ranking
 
     def endpoints(self) -> list[Endpoint]:
