--- a/calicofall/routing/__init__.py
+++ b/calicofall/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing decisions: where a request goes, what follows the result of an attempt. No I/O."""
+"""Routing decisions: selection of endpoints, retries, limits and time-outs. Performs no I/O."""
--- a/calicofall/routing/actions.py
+++ b/calicofall/routing/actions.py
@@ -1,4 +1,4 @@
-"""What the router asks of its caller beside decisions: log lines, polls, closed connections, gossip."""
+"""Actions that the router requests from its caller: log lines, polls, closed connections and gossip."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -6,26 +6,26 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class PollEndpointList:
-    """The list of endpoints is to be asked for."""
+    """Request the endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
 class CloseConnections:
-    """Connections to an endpoint that is seldom used are to be closed."""
+    """Close the connections to a rarely used endpoint."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """A hint is to be sent to a peer, told by its number among the proxies."""
+    """Send a hint to a peer, identified by its number among the proxies."""
 
     peer: int
     message: bytes
@@ -35,7 +35,7 @@
 
 
 def stored_action(action: Action) -> tuple[Any, ...]:
-    """An action as records and states hold it: its stored name and its values."""
+    """Returns the form of an action in records and states: its stored name and its values."""
     match action:
         case LogLine(text):
             return "log", text
@@ -48,10 +48,10 @@
 
 
 def action_from_stored(stored: tuple[Any, ...]) -> Action:
-    """The action of a stored form.
+    """Returns the action of a stored form.
 
     Raises:
-        ValueError: No action is stored under this name.
+        ValueError: The stored form is that of no action.
     """
     match stored:
         case ("log", text):
@@ -62,18 +62,18 @@
             return CloseConnections(endpoint)
         case ("tell", peer, message):
             return SendGossip(peer, message)
-    raise ValueError(f"expected a stored action, got {stored!r}")
+    raise ValueError(f"expected a stored action (log, follow, close or tell), found {stored!r}")
 
 
 class Outbox:
-    """Actions that were decided since the caller last took them, in their order."""
+    """The actions since the caller last took them, in order."""
 
     def __init__(self) -> None:
-        """An empty one."""
+        """Creates an empty outbox."""
         self.actions: list[Action] = []
 
     def log(self, text: str) -> None:
-        """Adds a line for the log."""
+        """Adds a log line."""
         self.actions.append(LogLine(text))
 
     def add(self, action: Action) -> None:
@@ -81,7 +81,7 @@
         self.actions.append(action)
 
     def drain(self) -> list[Action]:
-        """Takes all out."""
+        """Removes and returns all actions."""
         actions = self.actions
         self.actions = []
         return actions
--- a/calicofall/routing/attempt_observer.py
+++ b/calicofall/routing/attempt_observer.py
@@ -1,4 +1,4 @@
-"""What the outcome of an attempt at a cache teaches: baselines, outliers, limits and cached keys."""
+"""Updates baselines, outliers, limits and cached keys with the outcomes of attempts at caches."""
 
 from dataclasses import dataclass
 
@@ -11,33 +11,38 @@
 from calicofall.routing.retry_policy import RetryPolicy
 from calicofall.routing.slow_start import SlowStart
 
-FETCHED, FETCHING = "fetched", "fetching"  # notes of answers: the origin was asked, or was being asked
+# Cache statuses of answers: the origin was asked, or was already being asked for another request.
+FETCHED, FETCHING = "fetched", "fetching"
 MAX_RELATIVE_LATENCY = 10.0
-FULL_RELATIVE_LATENCY = 5.0  # that a refusal counts as, at the fleet's limit
-FAILED_FETCH_LATENCY = 6.0  # that a failed attempt which may have fetched counts as, at the origin's limit
-CROWDED_LATENCY = 1.5  # relative to that of all: an endpoint with a queue of its own
-HALF = 0.5  # an endpoint that is sent less tells nothing of the whole fleet
-TIMED = frozenset({AttemptOutcome.COMPLETED, AttemptOutcome.MISSED, AttemptOutcome.TIMEOUT})
-SERVICE_RATE_FIELD, QUEUE_FIELD = "served_ps", "pending"  # of a load report: how long requests wait
+FULL_RELATIVE_LATENCY = 5.0  # relative latency as which the fleet limit counts a refusal
+# Relative latency as which the origin limit counts a failed attempt that may have caused a fetch.
+FAILED_FETCH_LATENCY = 6.0
+# An endpoint that is slower than the fleet by this factor has a queue of its own.
+CROWDED_LATENCY_FACTOR = 1.5
+# The latency of an endpoint with a smaller admitted fraction does not represent the fleet.
+MIN_REPRESENTATIVE_FRACTION = 0.5
+OUTCOMES_WITH_LATENCY = frozenset({AttemptOutcome.COMPLETED, AttemptOutcome.MISSED, AttemptOutcome.TIMEOUT})
+# Fields of a load report that give the queueing time: requests served per second, and requests queued.
+SERVICE_RATE_FIELD, QUEUE_FIELD = "served_ps", "pending"
 
 
 @dataclass(slots=True)
 class AttemptResult:
-    """An attempt at a cache that has ended."""
+    """The result of an attempt at a cache."""
 
     request: Request
     endpoint: Endpoint
     outcome: AttemptOutcome
     latency_ms: float
     sent_at: float
-    relative_latency: float  # to its method's baseline, without the way to its zone
+    relative_latency: float  # to its method's baseline, without the extra latency of its zone
     warming_up: bool
     fetched: bool  # the origin was asked for it
-    origin_probability: float  # how likely that was when it was sent
+    origin_probability: float  # probability of that when the attempt was sent
 
 
 class AttemptObserver:
-    """Tells the parts of the policy what each attempt teaches."""
+    """Updates the components of the policy with the result of each attempt."""
 
     def __init__(
         self,
@@ -47,7 +52,7 @@
         slow_start: SlowStart,
         outliers: OutlierDetector,
     ) -> None:
-        """Holds no state of its own: the parts it is given do."""
+        """Keeps no state of its own: its components do."""
         self._settings = shared.settings
         self._deployment = shared.deployment
         self._endpoints = shared.endpoints
@@ -71,84 +76,93 @@
         request: Request,
         number: int,
         latency_ms: float,
-        note: str | None,
-        report: object,
+        cache_status: str | None,
+        load_report: object,
     ) -> None:
-        """Learns from an attempt that has ended.
+        """Updates measurements with an attempt that has ended.
 
         Args:
-            now: The present (ms).
-            request: The request; the attempt's outcome is in it.
-            number: Which of its attempts; one at an endpoint that is no cache is left out.
-            latency_ms: How long it took.
-            note: What the cache noted of its answer, such as `fetched`.
-            report: The load report that came with it, if it is a map.
+            now: Current time (ms).
+            request: The request, which holds the outcome of the attempt.
+            number: Index of the attempt in the request; an attempt at no known cache is ignored.
+            latency_ms: How long the attempt took.
+            cache_status: Cache status of the answer, such as `fetched`.
+            load_report: Load report that came with the answer; ignored if it is no map.
         """
         attempt = request.attempts[number]
         outcome = attempt.outcome
         endpoint = self._endpoints.cache(attempt.endpoint)
         if outcome is None or endpoint is None:
             return
-        usual = self._latency.baseline_ms(request.method)
-        own = self._slow_readers.endpoint_latency(endpoint.name, outcome, latency_ms, note == FETCHED)
-        if own is None:
+        baseline_ms = self._latency.baseline_ms(request.method)
+        endpoint_latency_ms = self._slow_readers.endpoint_latency(
+            endpoint.name, outcome, latency_ms, cache_status == FETCHED
+        )
+        if endpoint_latency_ms is None:
             return
-        # No endpoint is to blame for a slow way to its zone.
-        there = max(1.0, own - self._zone_latency.extra_ms(endpoint))
+        # The latency of the network path to a zone does not count against its endpoints.
+        service_time_ms = max(1.0, endpoint_latency_ms - self._zone_latency.extra_ms(endpoint))
         result = AttemptResult(
             request,
             endpoint,
             outcome,
-            own,
-            now - own,
-            self._relative_latency(endpoint, there, usual),
+            endpoint_latency_ms,
+            now - endpoint_latency_ms,
+            self._relative_latency(endpoint, service_time_ms, baseline_ms),
             self._slow_start.is_warming_up(now, endpoint),
-            note == FETCHED or (request.write and not self._deployment.look_aside),
+            cache_status == FETCHED or (request.write and not self._deployment.look_aside),
             attempt.origin_probability,
         )
-        self._learn_of_any(now, result)
+        self._apply_any_outcome(now, result)
         if outcome == AttemptOutcome.MISSED:
-            usual = self._latency.baseline_ms(None)
-        self._note_wait(now, result, there, usual, report)
-        self._learn(now, result, note)
+            baseline_ms = self._latency.baseline_ms(None)
+        self._record_wait(now, result, service_time_ms, baseline_ms, load_report)
+        self._apply_outcome(now, result, cache_status)
 
-    def _learn_of_any(self, now: float, result: AttemptResult) -> None:
-        """What any outcome teaches."""
+    def _apply_any_outcome(self, now: float, result: AttemptResult) -> None:
+        """Applies the updates that all outcomes have in common."""
         endpoint = result.endpoint
         self._outliers.on_outcome(now, endpoint, result.outcome, result.sent_at)
-        # Where answers may take a fetch, a zone that fetches much would pass for a far one.
-        if self._deployment.look_aside and result.outcome in TIMED:
+        # If caches fetch from the origin themselves, a zone with many fetches would appear to be far.
+        if self._deployment.look_aside and result.outcome in OUTCOMES_WITH_LATENCY:
             self._zone_latency.add(endpoint.zone, result.latency_ms)
         self._outliers.count_reset(now, result.outcome == AttemptOutcome.RESET)
         if result.outcome == AttemptOutcome.MISSED:
             self._cached_keys.discard(endpoint.name, result.request.key)
             self._latency.add(now, None, result.latency_ms)
 
-    def _relative_latency(self, endpoint: Endpoint, latency_ms: float, usual: float | None) -> float:
-        if not usual:
+    def _relative_latency(self, endpoint: Endpoint, latency_ms: float, baseline_ms: float | None) -> float:
+        if not baseline_ms:
             return endpoint.relative_latency
-        shortest = MIN_LATENCY_RATIO * self._settings.latency_objective_ms
-        return min(latency_ms / max(usual, shortest), MAX_RELATIVE_LATENCY)
+        min_baseline_ms = MIN_LATENCY_RATIO * self._settings.latency_objective_ms
+        return min(latency_ms / max(baseline_ms, min_baseline_ms), MAX_RELATIVE_LATENCY)
 
-    def _note_wait(
-        self, now: float, result: AttemptResult, there: float, usual: float | None, report: object
+    def _record_wait(
+        self,
+        now: float,
+        result: AttemptResult,
+        service_time_ms: float,
+        baseline_ms: float | None,
+        load_report: object,
     ) -> None:
-        """How long requests wait at the endpoint: by its load report, else by what is beyond the baseline."""
-        served = queued = None
-        if isinstance(report, dict):
-            served = report.get(SERVICE_RATE_FIELD)
-            queued = report.get(QUEUE_FIELD)
-        if served and queued is not None:
-            most = 2.0 * self._settings.latency_objective_ms
-            self._gossip.record_wait(now, result.endpoint, max(0.0, min(1000.0 * queued / served, most)))
-        elif result.outcome in TIMED and usual and not result.fetched:
-            wait = max(0.0, there - usual / self._capacity.of(result.endpoint))
-            self._gossip.record_wait(now, result.endpoint, wait)
-
-    def _learn(self, now: float, result: AttemptResult, note: str | None) -> None:
+        """Records the queueing time at an endpoint, by its load report or the excess over the baseline."""
+        served_per_s = queued = None
+        if isinstance(load_report, dict):
+            served_per_s = load_report.get(SERVICE_RATE_FIELD)
+            queued = load_report.get(QUEUE_FIELD)
+        if served_per_s and queued is not None:
+            max_wait_ms = 2.0 * self._settings.latency_objective_ms
+            self._gossip.record_wait(
+                now, result.endpoint, max(0.0, min(1000.0 * queued / served_per_s, max_wait_ms))
+            )
+        elif result.outcome in OUTCOMES_WITH_LATENCY and baseline_ms and not result.fetched:
+            wait_ms = max(0.0, service_time_ms - baseline_ms / self._capacity.of(result.endpoint))
+            self._gossip.record_wait(now, result.endpoint, wait_ms)
+
+    def _apply_outcome(self, now: float, result: AttemptResult, cache_status: str | None) -> None:
         outcome = result.outcome
         if outcome == AttemptOutcome.COMPLETED:
-            self._on_completed(now, result, note)
+            self._on_completed(now, result, cache_status)
         elif outcome == AttemptOutcome.FULL:
             self._limits.fleet_limit.relative_latencies.add(now, FULL_RELATIVE_LATENCY)
             self._gossip.record_wait(now, result.endpoint, self._settings.latency_objective_ms)
@@ -160,17 +174,19 @@
         elif outcome in (AttemptOutcome.RESET, AttemptOutcome.UNCONNECTED):
             self._outliers.on_connection_lost(now, result.endpoint, outcome)
 
-    def _on_completed(self, now: float, result: AttemptResult, note: str | None) -> None:
+    def _on_completed(self, now: float, result: AttemptResult, cache_status: str | None) -> None:
         request, endpoint = result.request, result.endpoint
         self._slow_start.on_completed(now, result.warming_up)
         if not request.write and not self._cached_keys.holds(endpoint.name, request.key):
-            self._fetch_likelihood.add(now, result.warming_up, note in (FETCHED, FETCHING))
-        if result.fetched:  # a slow origin is not the cache's fault: such an answer is measured apart
+            self._fetch_likelihood.add(now, result.warming_up, cache_status in (FETCHED, FETCHING))
+        if result.fetched:  # measured separately: the origin may have been slow, not the cache
             self._latency.add_fetch(now, result.latency_ms)
-            slow = self._latency.relative_to_fetch(result.latency_ms)
-            most = 2 * self._limits.origin_limit.tolerance if self._traffic.low else MAX_RELATIVE_LATENCY
-            self._on_origin_latency(now, endpoint, min(slow, most), 1.0)
-        elif note != FETCHING:
+            relative_latency = self._latency.relative_to_fetch(result.latency_ms)
+            max_latency = (
+                2 * self._limits.origin_limit.tolerance if self._traffic.low else MAX_RELATIVE_LATENCY
+            )
+            self._on_origin_latency(now, endpoint, min(relative_latency, max_latency), 1.0)
+        elif cache_status != FETCHING:
             self._latency.add(now, request.method, result.latency_ms)
             self._on_latency(now, result)
         if request.write:
@@ -179,50 +195,58 @@
             self._cached_keys.add(endpoint.name, request.key)
 
     def _on_failed(self, now: float, result: AttemptResult) -> None:
-        """An error or a time-out."""
+        """Applies an error or a time-out."""
         request, endpoint = result.request, result.endpoint
-        failed = result.outcome == AttemptOutcome.ERROR
-        # What was cached and fails now was fetched; else no limit would count the load on the origin.
+        is_error = result.outcome == AttemptOutcome.ERROR
+        # An error of a key that was cached means that the key was fetched; otherwise no limit would count the
+        # load on the origin.
         if not request.write and not self._deployment.look_aside:
-            if failed or not self._cached_keys.holds(endpoint.name, request.key):
+            if is_error or not self._cached_keys.holds(endpoint.name, request.key):
                 self._fetch_likelihood.add(now, result.warming_up, True)
             self._cached_keys.discard(endpoint.name, request.key)
-        self._on_failed_fetch(now, result, failed)
-        low = self._traffic.low
-        if not failed and (low or not result.origin_probability or endpoint.admitted_fraction < HALF):
-            self._on_latency(now, result, impatient=low)
+        self._on_failed_fetch(now, result, is_error)
+        low_traffic = self._traffic.low
+        if not is_error and (
+            low_traffic
+            or not result.origin_probability
+            or endpoint.admitted_fraction < MIN_REPRESENTATIVE_FRACTION
+        ):
+            self._on_latency(now, result, timed_out=low_traffic)
 
-    def _on_failed_fetch(self, now: float, result: AttemptResult, failed: bool) -> None:
-        """Counts a failed attempt against the origin, by how likely it fetched.
+    def _on_failed_fetch(self, now: float, result: AttemptResult, is_error: bool) -> None:
+        """Counts a failed attempt against the origin, weighted by the probability that it caused a fetch.
 
-        Slow endpoints would shrink the origin's limit: most of what may fetch does not.
+        Without the weight, slow endpoints would decrease the origin limit: most attempts that may cause a
+        fetch do not.
         """
         probability = result.origin_probability
         if not probability:
             return
-        low = self._traffic.low
-        healthy = result.endpoint.admitted_fraction >= HALF
-        if healthy and (result.request.write or not low or failed):
+        low_traffic = self._traffic.low
+        is_healthy = result.endpoint.admitted_fraction >= MIN_REPRESENTATIVE_FRACTION
+        if is_healthy and (result.request.write or not low_traffic or is_error):
             self._on_origin_latency(now, result.endpoint, FAILED_FETCH_LATENCY, 1.0)
             return
-        # Else, in a large fleet without a baseline, few endpoints' queues would tell most.
-        known = self._latency.baseline_ms(result.request.method) or not self._deployment.large_fleet
-        if low and known:
+        # Without a baseline, the queues of few endpoints would dominate the origin limit in a large fleet.
+        is_reliable = self._latency.baseline_ms(result.request.method) or not self._deployment.large_fleet
+        if low_traffic and is_reliable:
             self._on_origin_latency(now, result.endpoint, FAILED_FETCH_LATENCY, probability)
 
-    def _on_origin_latency(self, now: float, endpoint: Endpoint, relative: float, probability: float) -> None:
-        # An endpoint with a queue of its own would pass for a slow origin.
+    def _on_origin_latency(
+        self, now: float, endpoint: Endpoint, relative_latency: float, probability: float
+    ) -> None:
+        # An endpoint with a queue of its own would appear as a slow origin.
         if self._traffic.low and (
-            endpoint.relative_latency > CROWDED_LATENCY * self._outliers.fleet_relative_latency
+            endpoint.relative_latency > CROWDED_LATENCY_FACTOR * self._outliers.fleet_relative_latency
             or self._slow_start.is_warming_up(now, endpoint)
         ):
             return
-        self._limits.origin_limit.relative_latencies.add(now, relative * probability, probability)
+        self._limits.origin_limit.relative_latencies.add(now, relative_latency * probability, probability)
 
-    def _on_latency(self, now: float, result: AttemptResult, impatient: bool = False) -> None:
+    def _on_latency(self, now: float, result: AttemptResult, timed_out: bool = False) -> None:
         endpoint = result.endpoint
-        # A few slow endpoints would shrink the limit for all.
-        if endpoint.current_fraction(now) >= HALF:
-            fleet = self._limits.fleet_limit
-            fleet.relative_latencies.add(now, min(result.relative_latency, 2.0 * fleet.tolerance))
-        self._outliers.on_latency(now, endpoint, result.relative_latency, result.sent_at, impatient)
+        # Otherwise a few slow endpoints would decrease the limit of the whole fleet.
+        if endpoint.current_fraction(now) >= MIN_REPRESENTATIVE_FRACTION:
+            fleet_limit = self._limits.fleet_limit
+            fleet_limit.relative_latencies.add(now, min(result.relative_latency, 2.0 * fleet_limit.tolerance))
+        self._outliers.on_latency(now, endpoint, result.relative_latency, result.sent_at, timed_out)
--- a/calicofall/routing/decisions.py
+++ b/calicofall/routing/decisions.py
@@ -1,34 +1,34 @@
-"""What may become of a request: the answers of the routing policy, as types."""
+"""Decisions of the routing policy on a request."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Forward:
-    """The request goes to an endpoint now."""
+    """Forward the request to an endpoint now."""
 
     endpoint: str
-    timeout_ms: float  # how long its answer is waited for
-    decide_again_after_ms: float | None = None  # its client is answered then, while the attempt goes on
+    timeout_ms: float  # of the attempt
+    decide_again_after_ms: float | None = None  # the client is answered then, while the attempt continues
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """The request waits, and is decided on again."""
+    """Decide on the request again after a delay."""
 
     delay_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """The client is told to come back: a repeat does no harm."""
+    """Reject the request: its client may safely repeat it."""
 
     retry_after_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """The request failed, and may have had its effect."""
+    """Fail the request, which may have taken effect."""
 
 
 Decision = Forward | Wait | Reject | Fail
--- a/calicofall/routing/endpoint.py
+++ b/calicofall/routing/endpoint.py
@@ -1,4 +1,4 @@
-"""What a proxy knows of one cache, or of the origin."""
+"""The state of one cache or origin, as a proxy knows it."""
 
 from enum import StrEnum
 from math import exp
@@ -6,21 +6,21 @@
 from calicofall.routing.rendezvous import hash_point
 from calicofall.routing.sliding_window import SlidingWindow
 
-# The zones and kinds of machines that a method is bound to; None: any.
+# The zones and the machine kinds that a method is restricted to; None: any.
 PlacementConstraint = tuple[frozenset[str] | None, frozenset[str] | None]
 UNCONSTRAINED: PlacementConstraint = (None, None)
 
 SENT_SPAN_MS = 60_000.0  # requests sent to an endpoint are counted over this time
 SENT_BUCKETS = 6
-WARMING_SPAN_MS = 16_000.0  # requests that were to go to an endpoint that warms up, over this time
-RECOVERY_DOUBLING_MS = 5_000.0  # the admitted fraction of a degraded endpoint doubles in so long
+WARMING_SPAN_MS = 16_000.0  # requests that ask for admission to a warming endpoint are counted over this time
+RECOVERY_DOUBLING_MS = 5_000.0  # time in which the admitted fraction of a degraded endpoint doubles
 MAX_DOUBLINGS = 9.0
-WAIT_FADE_MS = 1500.0  # the news of how long requests wait fades in this time
-WAIT_PRIOR_COUNT = 2.0  # answers without a wait that the mean begins with
+WAIT_DECAY_MS = 1500.0  # time constant with which measured waits decay
+WAIT_PRIOR_COUNT = 2.0  # number of answers without a wait that the mean wait starts with
 
 
 class EndpointState(StrEnum):
-    """The state of an endpoint in the list, as the list's messages spell it."""
+    """The state of an endpoint as its list spells it."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -28,7 +28,7 @@
 
 
 class Endpoint:
-    """A cache or an origin: what the list says of it, and what this proxy found out."""
+    """A cache or an origin: its entry in the list, and what this proxy measured."""
 
     __slots__ = (
         "admitted_fraction",
@@ -57,56 +57,58 @@
     )
 
     def __init__(self, name: str) -> None:
-        """An endpoint of which nothing is known but its name."""
+        """Creates an endpoint of which only the name is known."""
         self.name = name
-        self.salt = hash_point(name.encode()) | 1  # odd: times it, no two points meet
+        # Odd, so that no two points times it are the same.
+        self.salt = hash_point(name.encode()) | 1
         self.listed_start = 0.0
         self.weight = 1.0
-        self.started_at = 0.0  # the listed start, corrected by our clock (ms); 0: not told
+        self.started_at = 0.0  # the listed start, corrected by the proxy's clock (ms); 0: unknown
         self.ready = True
         self.cell = 0
         self.zone = ""
         self.kind = ""
-        self.in_flight = 0  # requests in flight
+        self.in_flight = 0  # requests
+        # The last outcome other than a time-out, or the start of the first attempt in flight (ms).
         self.last_heard_at = 0.0
-        self.draining = False  # last listed as draining
+        self.draining = False  # whether it was last listed as draining
         self.sent = SlidingWindow(SENT_SPAN_MS, SENT_BUCKETS)
         self.warming_requests = SlidingWindow(WARMING_SPAN_MS, 8)
-        self.admitted_fraction = 1.0  # of what it owns, when last set
+        self.admitted_fraction = 1.0  # of its share of the load, when last set
         self.fraction_set_at = 0.0
         self.recovery_doubling_ms = RECOVERY_DOUBLING_MS
         self.ejected = False
         self.relative_latency = 1.0  # to the baseline
-        self.wait_count = 0.0  # answers lately, ours and peers', faded
-        self.wait_sum = 0.0  # their waits (ms), faded
+        self.wait_count = 0.0  # decayed number of waits, of this proxy and its peers
+        self.wait_sum = 0.0  # decayed sum of these waits (ms)
         self.waits_updated_at = 0.0
-        self.gossip_id = hash_point(name.encode()) & 0xFFFFFF  # how messages between proxies name it
+        self.gossip_id = hash_point(name.encode()) & 0xFFFFFF  # identifies it in messages between proxies
 
-    def satisfies(self, place: PlacementConstraint) -> bool:
-        """Whether it stands in one of the place's zones and is of one of its kinds."""
-        zones, kinds = place
+    def satisfies(self, constraint: PlacementConstraint) -> bool:
+        """Returns whether the endpoint is in one of the zones, and of one of the kinds, of a constraint."""
+        zones, kinds = constraint
         return self.zone in (zones or {self.zone}) and self.kind in (kinds or {self.kind})
 
     def reinstate(self) -> None:
-        """Forgets what was held against it: it is sent all it owns."""
+        """Ends its degradation: it gets its whole share of the load again."""
         self.admitted_fraction = 1.0
         self.ejected = False
         self.relative_latency = 1.0
 
     def record_wait(self, now: float, wait_ms: float) -> None:
-        """Counts how long a request waited there."""
-        fade = exp((self.waits_updated_at - now) / WAIT_FADE_MS)
-        self.wait_count = self.wait_count * fade + 1.0
-        self.wait_sum = self.wait_sum * fade + wait_ms
+        """Records how long a request waited at the endpoint."""
+        decay = exp((self.waits_updated_at - now) / WAIT_DECAY_MS)
+        self.wait_count = self.wait_count * decay + 1.0
+        self.wait_sum = self.wait_sum * decay + wait_ms
         self.waits_updated_at = now
 
     def mean_wait_ms(self, now: float) -> float:
-        """How long requests waited there lately (ms), by all that is known here."""
-        fade = exp((self.waits_updated_at - now) / WAIT_FADE_MS)
-        return self.wait_sum * fade / (self.wait_count * fade + WAIT_PRIOR_COUNT)
+        """Returns the recent mean wait at the endpoint (ms), by measurements of this proxy and its peers."""
+        decay = exp((self.waits_updated_at - now) / WAIT_DECAY_MS)
+        return self.wait_sum * decay / (self.wait_count * decay + WAIT_PRIOR_COUNT)
 
     def current_fraction(self, now: float) -> float:
-        """The fraction of what it owns that it is sent now: it doubles while nothing speaks against it."""
+        """Returns the fraction of its share that it gets now, which grows after each reduction."""
         if self.admitted_fraction >= 1.0:
             return 1.0
         doublings = min(MAX_DOUBLINGS, (now - self.fraction_set_at) / self.recovery_doubling_ms)
@@ -114,7 +116,7 @@
         return self.admitted_fraction * growth
 
     def degrade(self, now: float, fraction: float, ejected_below: float) -> None:
-        """Sends it this fraction of what it owns from now on; it is ejected at `ejected_below` or less."""
+        """Sets the fraction of its share that it gets; it is ejected at `ejected_below` or less."""
         self.admitted_fraction = fraction
         self.fraction_set_at = now
         self.ejected = fraction <= ejected_below
--- a/calicofall/routing/gossip.py
+++ b/calicofall/routing/gossip.py
@@ -1,44 +1,49 @@
-"""Hints that proxies tell each other: how many requests came, how long requests wait at endpoints.
+"""Encoding of hints: datagrams in which proxies exchange their request counts and waits at endpoints.
 
-A hint is a datagram: version (1 byte), count of endpoints (1), requests (2), then for each endpoint its
-gossip id (3) and the wait there in steps (1). It carries no name, key or tenant.
+A hint consists of a version (1 byte), a number of endpoints (1), a request count (2) and, for each endpoint,
+its gossip id (3) and the wait there in steps (1). It contains no name, key or tenant.
 """
 
 HINT_VERSION = 1
 MAX_ENDPOINTS = 60  # in one hint
-WAIT_STEP_MS = 5.0
+WAIT_STEP_MS = 5.0  # unit of encoded waits
 HEADER_BYTES = 4
 ENTRY_BYTES = 4
 MAX_WAIT_STEPS = 255
-MAX_RATE = 65_535
+MAX_REQUEST_COUNT = 65_535
 
 
-def encode_hint(rate: int, waits: list[tuple[int, float]]) -> bytes:
-    """Encodes what a proxy tells a peer.
+def encode_hint(request_count: int, waits: list[tuple[int, float]]) -> bytes:
+    """Encodes a hint to a peer.
 
     Args:
-        rate: The requests that came to it lately.
-        waits: By endpoints' gossip ids, how long requests waited there (ms).
+        request_count: Requests that the proxy recently received.
+        waits: Gossip ids of endpoints with the mean wait there (ms).
     """
     body = b"".join(
-        mark.to_bytes(3) + bytes((min(MAX_WAIT_STEPS, int(wait / WAIT_STEP_MS)),))
-        for mark, wait in waits[:MAX_ENDPOINTS]
+        gossip_id.to_bytes(3) + bytes((min(MAX_WAIT_STEPS, int(wait_ms / WAIT_STEP_MS)),))
+        for gossip_id, wait_ms in waits[:MAX_ENDPOINTS]
+    )
+    return (
+        bytes((HINT_VERSION, len(body) // ENTRY_BYTES))
+        + min(MAX_REQUEST_COUNT, request_count).to_bytes(2)
+        + body
     )
-    return bytes((HINT_VERSION, len(body) // ENTRY_BYTES)) + min(MAX_RATE, rate).to_bytes(2) + body
 
 
 def decode_hint(data: bytes) -> tuple[int | None, list[tuple[int, float]]]:
-    """Decodes what a peer tells: its requests, and waits (ms) by gossip ids.
+    """Decodes a hint of a peer.
 
     Returns:
-        None and nothing where it is no such message, or one of another version.
+        The request count of the peer, and gossip ids of endpoints with the mean wait there (ms); None and an
+        empty list if the data is no hint of this version.
     """
     if len(data) < HEADER_BYTES or data[0] != HINT_VERSION or data[1] > MAX_ENDPOINTS:
         return None, []
     if len(data) != HEADER_BYTES + ENTRY_BYTES * data[1]:
         return None, []
     waits = [
-        (int.from_bytes(data[at : at + 3]), data[at + 3] * WAIT_STEP_MS)
-        for at in range(HEADER_BYTES, len(data), ENTRY_BYTES)
+        (int.from_bytes(data[offset : offset + 3]), data[offset + 3] * WAIT_STEP_MS)
+        for offset in range(HEADER_BYTES, len(data), ENTRY_BYTES)
     ]
     return int.from_bytes(data[2:4]), waits
--- a/calicofall/routing/knowledge.py
+++ b/calicofall/routing/knowledge.py
@@ -1,4 +1,4 @@
-"""What a policy knows, as one parameter of the parts that judge by it."""
+"""Shared components of a policy, as one parameter of the components that decide by them."""
 
 from dataclasses import dataclass
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedComponents:
-    """The parts that hold settings and measures, and where actions go."""
+    """The components that hold settings and measurements, and the outbox of actions."""
 
     settings: RoutingSettings
     deployment: Deployment
--- a/calicofall/routing/outlier_detection.py
+++ b/calicofall/routing/outlier_detection.py
@@ -1,9 +1,10 @@
-"""Outlier detection: endpoints that are slow, silent or unreachable are ejected, and recover on a ramp.
+"""Outlier detection: slow, silent or unreachable endpoints are ejected, and recover on a ramp.
 
-An ejected endpoint is sent a small fraction of what it owns, which doubles while nothing speaks against it
-(as the outlier ejection of Envoy, but by degrees).
+An endpoint's share of the load is the part of all requests that its weight gives it. An ejected endpoint
+gets a small fraction of its share, which doubles at intervals as long as no outcome counts against the
+endpoint (as in the outlier ejection of Envoy, but by degrees).
 
-Invariants: no endpoint is sent less than its minimal fraction, so that its recovery is found out.
+Invariants: no endpoint gets less than its minimal fraction, so that its recovery can be detected.
 """
 
 from dataclasses import dataclass
@@ -16,16 +17,19 @@
 from calicofall.routing.sliding_window import SlidingWindow
 from calicofall.routing.slow_start import SlowStart
 
-EJECTED_FRACTION = 0.25  # an endpoint that is sent so much or less counts as ejected
+EJECTED_FRACTION = 0.25  # an endpoint that gets at most this fraction of its share counts as ejected
 HEAVILY_DEGRADED_FRACTION = 0.125
-CONSENSUS_FRACTION = 1 / 8  # of what an endpoint owns, that it is sent at first on other proxies' evidence
-SILENT_FRACTION = 1 / 16
-SILENT_ENDPOINTS = 4  # of a zone, in a row, by which the zone is found to be lost
-USUAL_RESETS = 0.05  # a larger part of resets befalls healthy endpoints, too
+# Fraction of its share that an endpoint gets right after it was ejected on the evidence of other proxies.
+CONSENSUS_FRACTION = 1 / 8
+SILENT_FRACTION = 1 / 16  # factor by which the fraction of a silent endpoint is reduced
+SILENT_ENDPOINTS = 4  # so many silent endpoints without an answer between them mean that their zone is lost
+# Share of attempts that are reset: above it the network resets connections of healthy endpoints too, so that
+# a reset does not count against an endpoint.
+NETWORK_RESET_SHARE = 0.05
 RESET_MIN_SAMPLES = 8
-MAX_RECOVERY_FACTOR = 8.0
-SMOOTHING = 0.15  # of the relative latency, by each answer
-DEGRADED_SMOOTHING = 0.3
+MAX_RECOVERY_FACTOR = 8.0  # the ramp of an endpoint takes at most so many times the usual time
+SMOOTHING_FACTOR = 0.15  # weight of one answer in the smoothed relative latency of an endpoint
+DEGRADED_SMOOTHING_FACTOR = 0.3  # the same for a degraded endpoint
 SILENT_OUTCOMES = frozenset(
     {
         AttemptOutcome.TIMEOUT,
@@ -38,24 +42,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Thresholds:
-    """What an endpoint is ejected by, and what is left to it."""
+    """When an endpoint is ejected, and how far its fraction is reduced.
+
+    Latencies are relative to the baseline; factors apply to the fraction that the endpoint got before.
+    """
 
     eject_above: float  # relative latency
     recover_below: float  # relative latency
-    min_fraction: float
-    reset_factor: float  # of what it was sent before
-    unconnected_factor: float
+    min_fraction: float  # of the endpoint's share
+    reset_factor: float  # after a connection reset
+    unconnected_factor: float  # after a failed connection attempt
 
 
-FREQUENT = Thresholds(2.5, 1.5, 1 / 64, reset_factor=1.0, unconnected_factor=1 / 2)
+NORMAL_TRAFFIC = Thresholds(2.5, 1.5, 1 / 64, reset_factor=1.0, unconnected_factor=1 / 2)
 LOW_TRAFFIC = Thresholds(4.0, 2.0, 1 / 16, reset_factor=1 / 16, unconnected_factor=1 / 16)
 
 
 class OutlierDetector:
-    """Finds outliers among the endpoints, and decides by chance whether they are sent what they own."""
+    """Finds outliers among the endpoints, and admits a random part of the requests to them."""
 
     def __init__(self, shared: SharedComponents, slow_start: SlowStart) -> None:
-        """Nothing is known of any endpoint."""
+        """Starts without measurements."""
         self._settings = shared.settings
         self._deployment = shared.deployment
         self._endpoints = shared.endpoints
@@ -65,43 +72,45 @@
         self._slow_start = slow_start
         self._latency = shared.latency
         self._outbox = shared.outbox
-        self.fleet_relative_latency = 1.0  # relative latency of all endpoints together
-        self.resets = SlidingWindow(10_000.0, 10)  # the share of attempts that were reset
-        # By zone: when it was last heard of, and the endpoints that were silent since.
+        self.fleet_relative_latency = 1.0  # mean relative latency of all endpoints, at least 1
+        self.resets = SlidingWindow(10_000.0, 10)  # 1 for each attempt that was reset, 0 for each other
+        # By zone: [when it last answered (ms), names of the endpoints that have been silent since].
         self.zone_silence: dict[str, list[Any]] = {}
 
     def thresholds(self) -> Thresholds:
-        """Those for the present traffic: with little of it, single answers have to do."""
-        return LOW_TRAFFIC if self._traffic.low else FREQUENT
+        """Returns the thresholds for the current traffic; with low traffic they apply to single answers."""
+        return LOW_TRAFFIC if self._traffic.low else NORMAL_TRAFFIC
 
     def heavily_degraded_count(self, now: float) -> int:
-        """How many ready endpoints get an eighth of what they own at most."""
+        """Counts the ready endpoints that get at most an eighth of their share of the load."""
         return sum(
             one.current_fraction(now) <= HEAVILY_DEGRADED_FRACTION for one in self._placement.endpoints()
         )
 
     def degraded(self, now: float) -> set[str]:
-        """Endpoints that are sent less than they own."""
+        """Returns the endpoints that get less than their share of the load."""
         return {one.name for one in self._placement.endpoints() if one.current_fraction(now) < 1.0}
 
     def ejected(self, now: float) -> list[str]:
-        """Endpoints that get a quarter of what they own at most, in order of name."""
+        """Returns the endpoints that get at most a quarter of their share of the load, sorted by name."""
         ejected = (
             one for one in self._placement.endpoints() if one.current_fraction(now) <= EJECTED_FRACTION
         )
         return sorted(one.name for one in ejected)
 
     def eject(self, now: float, endpoint: Endpoint, factor: float, reason: str) -> None:
-        """Sends an endpoint this part of what it was sent before; the reason goes to the log."""
-        even = 1.0
+        """Multiplies the fraction of an endpoint by `factor`; an ejection is logged with its reason."""
+        load_ratio = 1.0
         if self._deployment.large_fleet and self._traffic.low:
-            # Without this, hundreds of proxies would each try a crowded endpoint again so soon that it
-            # answers none of them in time.
-            even = endpoint.sent.count(now) / max(1.0, self._traffic.expected_count(now, endpoint))
+            # Without this, hundreds of proxies would each retry a crowded endpoint so soon that it would
+            # answer none of them in time.
+            load_ratio = endpoint.sent.count(now) / max(1.0, self._traffic.expected_count(now, endpoint))
         if self._slow_start.is_warming_up(now, endpoint):
             endpoint.recovery_doubling_ms = RECOVERY_DOUBLING_MS
         else:
-            endpoint.recovery_doubling_ms = RECOVERY_DOUBLING_MS * min(MAX_RECOVERY_FACTOR, max(1.0, even))
+            endpoint.recovery_doubling_ms = RECOVERY_DOUBLING_MS * min(
+                MAX_RECOVERY_FACTOR, max(1.0, load_ratio)
+            )
         fraction = min(1.0, endpoint.current_fraction(now)) * factor
         endpoint.admitted_fraction = max(self.thresholds().min_fraction, fraction)
         endpoint.fraction_set_at = now
@@ -113,57 +122,64 @@
                 )
 
     def eject_on_evidence(self, now: float, endpoint: Endpoint) -> None:
-        """Other proxies found it to be an outlier: it is sent little at first."""
+        """Ejects an endpoint that other proxies found to be an outlier, unless it gets less already."""
         if endpoint.current_fraction(now) > CONSENSUS_FRACTION:
             endpoint.degrade(now, CONSENSUS_FRACTION, EJECTED_FRACTION)
 
     def restore(self, now: float, endpoint: Endpoint, fraction: float) -> None:
-        """A former life of this proxy sent it this fraction of what it owns."""
+        """Restores the fraction that an earlier incarnation of this proxy stored for an endpoint."""
         endpoint.degrade(now, fraction, EJECTED_FRACTION)
 
-    def admits(self, now: float, endpoint: Endpoint, chance: Random) -> bool:
-        """Whether an endpoint is sent what it owns: by chance, where something speaks against it."""
-        # An endpoint that keeps what it gets and says nothing is found long before time-outs tell.
-        waiting = endpoint.in_flight
-        if waiting:
-            silent = now - endpoint.last_heard_at
-            patience = (
-                3.0 + 5.0 / waiting
-            ) * self._latency.fetch_baseline_ms  # one slow answer is no silence
-            if silent > max(self._settings.latency_objective_ms, patience):
-                self.eject(now, endpoint, SILENT_FRACTION, f"silent for {silent:.0f} ms")
+    def admits(self, now: float, endpoint: Endpoint, random_generator: Random) -> bool:
+        """Returns whether a request may go to an endpoint; a degraded one admits a random part."""
+        # An endpoint that accepts requests but answers none is detected long before their time-outs end.
+        in_flight = endpoint.in_flight
+        if in_flight:
+            silent_ms = now - endpoint.last_heard_at
+            # With few requests in flight the limit is longer: one slow answer is no silence.
+            max_silent_ms = (3.0 + 5.0 / in_flight) * self._latency.fetch_baseline_ms
+            if silent_ms > max(self._settings.latency_objective_ms, max_silent_ms):
+                self.eject(now, endpoint, SILENT_FRACTION, f"silent for {silent_ms:.0f} ms")
         fraction = endpoint.current_fraction(now)
         if endpoint.admitted_fraction < 1.0 <= fraction:
             endpoint.reinstate()
-        return fraction >= 1.0 or chance.random() < fraction
+        return fraction >= 1.0 or random_generator.random() < fraction
 
     def on_latency(
-        self, now: float, endpoint: Endpoint, relative: float, sent_at: float, impatient: bool = False
+        self,
+        now: float,
+        endpoint: Endpoint,
+        relative_latency: float,
+        sent_at: float,
+        timed_out: bool = False,
     ) -> None:
-        """An answer came, or did not in time.
+        """Updates an endpoint with the latency of an answer, or of an attempt that timed out.
 
         Args:
-            now: The present (ms).
-            endpoint: Where it came from.
-            relative: Its latency, relative to the baseline.
+            now: Current time (ms).
+            endpoint: Endpoint of the attempt.
+            relative_latency: Latency relative to the baseline.
             sent_at: When the attempt was sent (ms).
-            impatient: It did not come in time: clients may be less patient than a slow endpoint is told by.
+            timed_out: Whether no answer arrived in time. The time-outs of clients may be shorter than the
+                latency by which a slow endpoint is detected, so that a lower threshold applies.
         """
-        low = self._traffic.low
+        low_traffic = self._traffic.low
         thresholds = self.thresholds()
         fraction = endpoint.current_fraction(now)
-        self._capacity.add(now, endpoint, relative)
-        # A healthy endpoint has a slow answer now and then, and a sick one a fast answer.
+        self._capacity.add(now, endpoint, relative_latency)
+        # A healthy endpoint has an occasional slow answer, and an unhealthy one an occasional fast answer.
         smoothing = 1.0
-        if not low:
-            smoothing = SMOOTHING if fraction >= 1.0 else DEGRADED_SMOOTHING
-        endpoint.relative_latency += (relative - endpoint.relative_latency) * smoothing
-        most = FREQUENT.eject_above if impatient else thresholds.eject_above * self.fleet_relative_latency
-        # What was sent before the last change belongs to one queue, which speaks once.
-        if endpoint.relative_latency > most and sent_at >= endpoint.fraction_set_at:
-            if low or self._few_are_slow_beside(endpoint):
+        if not low_traffic:
+            smoothing = SMOOTHING_FACTOR if fraction >= 1.0 else DEGRADED_SMOOTHING_FACTOR
+        endpoint.relative_latency += (relative_latency - endpoint.relative_latency) * smoothing
+        eject_above = (
+            NORMAL_TRAFFIC.eject_above if timed_out else thresholds.eject_above * self.fleet_relative_latency
+        )
+        # Requests sent before the last change waited in the same queue, which counts once.
+        if endpoint.relative_latency > eject_above and sent_at >= endpoint.fraction_set_at:
+            if low_traffic or self._few_others_are_slow(endpoint):
                 reason = f"pace {endpoint.relative_latency:.1f}"
-                self.eject(now, endpoint, 1 / 4 if impatient else 1 / 2, reason)
+                self.eject(now, endpoint, 1 / 4 if timed_out else 1 / 2, reason)
         elif (
             fraction < 1.0
             and endpoint.relative_latency < thresholds.recover_below * self.fleet_relative_latency
@@ -171,43 +187,46 @@
             endpoint.admitted_fraction = fraction * 2
             endpoint.fraction_set_at = now
 
-    def _few_are_slow_beside(self, endpoint: Endpoint) -> bool:
-        """Where a third is slow it is nobody's fault: load would only go in circles."""
+    def _few_others_are_slow(self, endpoint: Endpoint) -> bool:
+        """Returns whether fewer than a third of the endpoints are degraded below half, without this one.
+
+        If more are slow, no single endpoint is the cause, and an ejection would only move load around.
+        """
         others = (one for one in self._placement.endpoints() if one != endpoint)
         return 3 * sum(one.admitted_fraction < 0.5 for one in others) < len(self._placement.usable)
 
     def on_outcome(self, now: float, endpoint: Endpoint, outcome: AttemptOutcome, sent_at: float) -> None:
-        """Looks for a lost zone: its endpoints say nothing, and each is met too seldom to learn it."""
+        """Detects a lost zone by several silent endpoints, each of which gets too few requests by itself."""
         zone = self.zone_silence.setdefault(endpoint.zone, [0.0, set()])
         if outcome not in SILENT_OUTCOMES:
             zone[:] = now, set()
             return
-        heard_at, silent = zone
+        last_answer_at, silent_endpoints = zone
         if not self._traffic.low or outcome == AttemptOutcome.CANCELLED:
             return
-        if sent_at <= heard_at or endpoint.name in silent:
+        if sent_at <= last_answer_at or endpoint.name in silent_endpoints:
             return
-        silent.add(endpoint.name)
-        if len(silent) == SILENT_ENDPOINTS and any(
-            heard > sent_at for heard, _ in self.zone_silence.values()
+        silent_endpoints.add(endpoint.name)
+        if len(silent_endpoints) == SILENT_ENDPOINTS and any(
+            other_answer_at > sent_at for other_answer_at, _ in self.zone_silence.values()
         ):
-            self._outbox.log(f"zone {endpoint.zone} silent for {now - heard_at:.0f} ms")
+            self._outbox.log(f"zone {endpoint.zone} silent for {now - last_answer_at:.0f} ms")
             for other in self._endpoints.caches.values():
                 if other.zone == endpoint.zone and other.admitted_fraction > SILENT_FRACTION:
                     self.eject(now, other, SILENT_FRACTION, "")
 
     def count_reset(self, now: float, was_reset: bool) -> None:
-        """Counts an attempt by whether it was reset: networks reset healthy endpoints' connections, too."""
+        """Counts an attempt and whether it was reset: networks reset healthy endpoints' connections too."""
         self.resets.add(now, float(was_reset))
 
     def on_connection_lost(self, now: float, endpoint: Endpoint, outcome: AttemptOutcome) -> None:
-        """An attempt was reset, or found no connection."""
+        """Reduces the fraction of an endpoint that reset an attempt or did not accept a connection."""
         thresholds = self.thresholds()
         if outcome == AttemptOutcome.UNCONNECTED:
             self.eject(now, endpoint, thresholds.unconnected_factor, outcome)
-        elif (self.resets.recent_mean(now, RESET_MIN_SAMPLES) or 0.0) < USUAL_RESETS:
+        elif (self.resets.recent_mean(now, RESET_MIN_SAMPLES) or 0.0) < NETWORK_RESET_SHARE:
             self.eject(now, endpoint, thresholds.reset_factor, outcome)
 
     def update(self, mean_relative_latency: float | None) -> None:
-        """Takes the mean relative latency of all endpoints together, where it was measured."""
+        """Sets the mean relative latency of all endpoints, if it was measured."""
         self.fleet_relative_latency = max(1.0, mean_relative_latency or self.fleet_relative_latency)
--- a/calicofall/routing/placement.py
+++ b/calicofall/routing/placement.py
@@ -1,8 +1,8 @@
-"""Which endpoints a key belongs to: weighted rendezvous hashing.
+"""Placement of keys on endpoints by weighted rendezvous hashing.
 
-A key's endpoints are those with the least -ln(1 - h) / w, h the hash of key and endpoint in [0, 1) and w the
-endpoint's weight (Schindelhauer and Schomaker, "Weighted distributed hash tables", 2005): a changed weight
-moves only the keys that it has to.
+The endpoints of a key are those with the smallest -ln(1 - h) / w, where h is the hash of key and endpoint in
+[0, 1) and w the endpoint's weight (Schindelhauer and Schomaker, "Weighted distributed hash tables", 2005): a
+changed weight moves the smallest possible number of keys.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,11 +13,12 @@
 from calicofall.routing.rendezvous import HASH_MODULUS, hash_point
 from calicofall.routing.sliding_window import SlidingWindow
 
-REPLICAS = 3  # endpoints that a key may go to
-MIN_WEIGHT_LEFT = 0.1  # of a weight at the least, where methods that are bound to a place fill it
-MIN_REQUESTS = 16  # before the share of bound methods counts
+REPLICAS = 3  # number of endpoints of a key
+# Fraction of an endpoint's weight that is left for unconstrained methods, if constrained ones use the rest.
+MIN_REMAINING_WEIGHT_FRACTION = 0.1
+MIN_REQUESTS = 16  # with fewer recent requests, the share of constrained methods is not used
 
-Candidate = tuple[int, float, Endpoint]  # salt, -weight, endpoint
+Candidate = tuple[int, float, Endpoint]  # (salt, -weight, endpoint)
 
 
 def _demand_window() -> SlidingWindow:
@@ -25,49 +26,52 @@
 
 
 class Placement:
-    """The usable endpoints with their present weights, and the rankings that follow from them."""
+    """The usable endpoints with their current weights, and the rankings of endpoints by key."""
 
-    def __init__(self, places: dict[str, PlacementConstraint]) -> None:
-        """No endpoint is usable yet; `places`: the place that each method is bound to."""
+    def __init__(self, constraints: dict[str, PlacementConstraint]) -> None:
+        """Starts without usable endpoints; `constraints` are the placement constraints by method."""
         self.usable: list[Candidate] = []
-        self.constraints = places
+        self.constraints = constraints
         self.candidates: dict[PlacementConstraint, list[Candidate]] = {
-            place: [] for place in (UNCONSTRAINED, *places.values())
+            constraint: [] for constraint in (UNCONSTRAINED, *constraints.values())
         }
-        self.demand = {place: _demand_window() for place in self.candidates}  # requests by place
+        # Recent requests by constraint.
+        self.demand = {constraint: _demand_window() for constraint in self.candidates}
         self.weights: dict[str, float] = {}
         self.total_weight: float = 0.0
         self.rankings: dict[tuple[int, PlacementConstraint], list[Endpoint]] = {}
-        self.ranking = self.rank  # recording and replay wrap it
+        self.ranking = self.rank  # recording and replay replace it by a wrapper
 
     def rank(self, key: int, constraint: PlacementConstraint = UNCONSTRAINED) -> list[Endpoint]:
-        """The key's best endpoints in a place, best first; kept until a weight changes."""
+        """Returns the endpoints of a key under a constraint, best first; cached until a weight changes."""
         ranking = self.rankings.get((key, constraint))
         if ranking is None:
             point = hash_point(key.to_bytes(8))
-            within = self.candidates[constraint]
+            candidates = self.candidates[constraint]
             scores = [
                 (log(1.0 - point * salt % HASH_MODULUS / HASH_MODULUS) / weight, number)
-                for number, (salt, weight, _) in enumerate(within)
+                for number, (salt, weight, _) in enumerate(candidates)
             ]
-            ranking = [within[number][2] for _, number in nsmallest(REPLICAS, scores)]
+            ranking = [candidates[number][2] for _, number in nsmallest(REPLICAS, scores)]
             self.rankings[key, constraint] = ranking
         return ranking
 
     def endpoints(self) -> list[Endpoint]:
-        """All that are usable."""
+        """Returns the usable endpoints."""
         return [endpoint for *_, endpoint in self.usable]
 
     def possible_holders(self, key: int | None) -> list[str]:
-        """The names of all endpoints that the key may have been sent to, in any place."""
-        return [endpoint.name for place in self.candidates for endpoint in self.ranking(key or 0, place)]
+        """Returns the names of the endpoints that may hold the key, under any constraint."""
+        return [
+            endpoint.name for constraint in self.candidates for endpoint in self.ranking(key or 0, constraint)
+        ]
 
     def weight_of(self, endpoint: Endpoint) -> float:
-        """Its present weight; 0 where it is not usable."""
+        """Returns the current weight of an endpoint; 0 if it is not usable."""
         return self.weights.get(endpoint.name, 0.0)
 
     def share_of(self, endpoint: Endpoint) -> float:
-        """Its part of all weights."""
+        """Returns an endpoint's share of the total weight."""
         return self.weights.get(endpoint.name, 0.0) / max(1e-9, self.total_weight)
 
     def count_request(self, now: float, method: str) -> None:
@@ -75,38 +79,41 @@
         self.demand[self.constraints[method]].add(now)
 
     def has_constrained_methods(self) -> bool:
-        """Whether any method is bound to a place."""
+        """Returns whether any method has a placement constraint."""
         return len(self.candidates) > 1
 
     def forget_rankings(self) -> None:
-        """Drops kept rankings, so that those of keys that are no longer asked for take no memory."""
+        """Drops cached rankings, so that keys that are no longer requested take no memory."""
         self.rankings = {}
 
     def refresh(self, now: float, endpoints: Iterable[Endpoint], weights: Mapping[str, float]) -> None:
-        """Takes new weights: `endpoints` are those that are ready, `weights` by their names."""
+        """Replaces the usable endpoints, which are those that are ready, and their weights by name."""
         self.weights = dict(weights)
         self.usable = [(one.salt, -self.weights[one.name], one) for one in endpoints]
         self.total_weight = sum(self.weights.values())
-        # Without this, bound methods find their endpoints full of requests that could go elsewhere: free ones
-        # are ranked by what those leave of an endpoint's even load, in tenths, so that few keys move.
-        requests = sum(window.count(now) for window in self.demand.values())
-        left = dict.fromkeys(self.weights, 1.0)
-        for place, window in self.demand.items():
-            here = [candidate for candidate in self.usable if candidate[2].satisfies(place)]
-            self.candidates[place] = here
-            weight = sum(self.weights[endpoint.name] for *_, endpoint in here)
-            if place != UNCONSTRAINED and requests >= MIN_REQUESTS and weight:
-                for *_, endpoint in here:
-                    taken = round(window.count(now) / requests * self.total_weight / weight, 1)
-                    left[endpoint.name] -= taken
+        # Without this, requests of unconstrained methods would fill the only endpoints that constrained ones
+        # may use. Unconstrained rankings use the fraction of an endpoint's even load that constrained methods
+        # leave, in tenths, so that few keys move.
+        request_count = sum(window.count(now) for window in self.demand.values())
+        remaining_fractions = dict.fromkeys(self.weights, 1.0)
+        for constraint, window in self.demand.items():
+            candidates = [candidate for candidate in self.usable if candidate[2].satisfies(constraint)]
+            self.candidates[constraint] = candidates
+            weight = sum(self.weights[endpoint.name] for *_, endpoint in candidates)
+            if constraint != UNCONSTRAINED and request_count >= MIN_REQUESTS and weight:
+                for *_, endpoint in candidates:
+                    used_fraction = round(window.count(now) / request_count * self.total_weight / weight, 1)
+                    remaining_fractions[endpoint.name] -= used_fraction
         self.candidates[UNCONSTRAINED] = [
-            (salt, weight * max(MIN_WEIGHT_LEFT, left[endpoint.name]), endpoint)
+            (salt, weight * max(MIN_REMAINING_WEIGHT_FRACTION, remaining_fractions[endpoint.name]), endpoint)
             for salt, weight, endpoint in self.usable
         ]
         self.rankings.clear()
 
-    def apply_settings(self, places: dict[str, PlacementConstraint]) -> None:
-        """Other methods, bound to other places; `refresh` has to follow."""
-        self.constraints = places
-        self.candidates = {place: [] for place in (UNCONSTRAINED, *places.values())}
-        self.demand = {place: self.demand.get(place) or _demand_window() for place in self.candidates}
+    def apply_settings(self, constraints: dict[str, PlacementConstraint]) -> None:
+        """Replaces the constraints of methods; the caller must call `refresh` afterwards."""
+        self.constraints = constraints
+        self.candidates = {constraint: [] for constraint in (UNCONSTRAINED, *constraints.values())}
+        self.demand = {
+            constraint: self.demand.get(constraint) or _demand_window() for constraint in self.candidates
+        }
--- a/calicofall/routing/policy.py
+++ b/calicofall/routing/policy.py
@@ -1,11 +1,12 @@
-"""All decisions of a proxy: where a request goes, what follows an outcome, how long to wait.
+"""The routing policy of a proxy: selects endpoints, decides on retries and sets waiting times.
 
-The policy is deterministic in what it is handed and its seed; times are ms with fractions. Three calls lead
-it: `decide` says where to forward a request, or that it waits, or that it is given up; `on_attempt_result`
-takes an attempt's outcome and decides again; `next_wakeup`, after each batch, tells when it is to be called
-next, and what it asks for beside. News comes by `on_endpoint_list`, `on_gossip` and `on_client_disconnected`.
+The policy is deterministic: its decisions depend on its inputs and its seed alone. Times are in milliseconds,
+with fractions. The caller uses three methods: `decide` forwards, delays, rejects or fails a request;
+`on_attempt_result` takes the outcome of an attempt and decides again; `next_wakeup`, called after each batch
+of events, returns when to call it next and the actions that the caller has to carry out. `on_endpoint_list`,
+`on_gossip` and `on_client_disconnected` pass in external events.
 
-Invariants: it touches no socket, clock or log, and forwards only to endpoints that the list has named.
+Invariants: the policy uses no socket, clock or log, and forwards only to endpoints that the list has named.
 """
 
 from collections.abc import Iterable, Mapping
@@ -37,16 +38,21 @@
 from calicofall.routing.timeouts import Timeouts
 from calicofall.routing.traffic import RelativeCapacity, Traffic
 
-MEASURE_INTERVAL_MS = 8 * UPDATE_INTERVAL_MS  # between two looks at what changes slowly
-MIN_LEFT_MS = 2.0  # with less time left, no answer would come
-HEAVY_WORK = 0.8  # of the latency objective: a request with more work is not answered by a cache in time
-WAIT_MS = 15.0  # until a request that found no room is decided on again
-MIN_LEFT_TO_WAIT_MS = 20.0
-PATIENCE, RETRY_PATIENCE = 0.25, 0.5  # of the latency objective, in which a request waits for room
+MEASUREMENT_INTERVAL_MS = 8 * UPDATE_INTERVAL_MS  # between two updates of slowly changing measurements
+MIN_REMAINING_MS = 2.0  # with less time remaining, no answer would arrive before the deadline
+# Fraction of the latency objective: a cache does not answer a request with more work than that in time.
+HEAVY_WORK_FRACTION = 0.8
+CAPACITY_WAIT_MS = 15.0  # until the next decision on a request for which a limit had no capacity
+MIN_REMAINING_TO_WAIT_MS = 20.0
+# Queueing time-outs of first attempts and of retries, as fractions of the latency objective: how long after
+# its arrival a request may wait for capacity.
+QUEUEING_TIMEOUT_FRACTION, RETRY_QUEUEING_TIMEOUT_FRACTION = 0.25, 0.5
+# Connections to an endpoint are closed when it gets less than (proxies * cost of an open connection relative
+# to a handshake / this factor) times the mean number of requests per endpoint.
 IDLE_CONNECTION_FACTOR = 100.0
-FETCH = "fetch"  # the baseline of a fetch, among those of methods, in what is kept
-# Outcomes after which a request is decided on again without a retry being paid for.
-UNPAID_OUTCOMES = frozenset(
+FETCH_KEY = "fetch"  # key of the fetch baseline among the baselines of methods, in the learned state
+# Outcomes after which a request is decided on again without using the retry allowance.
+FREE_RETRY_OUTCOMES = frozenset(
     {
         AttemptOutcome.MISSED,
         AttemptOutcome.FULL,
@@ -58,24 +64,24 @@
 
 
 class RoutingPolicy:
-    """The routing policy of one proxy: an outline over the parts that know something."""
+    """The routing policy of one proxy: combines its components into decisions."""
 
     def __init__(self, deployment: Mapping[str, Any], seed: int, now: float) -> None:
-        """A policy that knows no endpoint yet.
+        """Creates a policy without endpoints.
 
         Args:
-            deployment: Settings, as `config.settings` gives them out.
-            seed: Of all its random draws.
-            now: The present (ms).
+            deployment: Settings in the form that `config.settings` returns.
+            seed: Seed of the random generator that all components share.
+            now: Current time (ms).
         """
-        self.chance = Random(seed)
-        known = self._create_shared_components(now, deployment)
-        self._create_decision_components(now, deployment, known)
+        self.random_generator = Random(seed)
+        shared = self._create_shared_components(now, deployment)
+        self._create_decision_components(now, deployment, shared)
         self.next_update_at = now
         self.next_measurement_at = now
 
     def _create_shared_components(self, now: float, deployment: Mapping[str, Any]) -> SharedComponents:
-        """The parts that hold settings and measures."""
+        """Creates the components that hold settings and measurements."""
         self.settings = RoutingSettings(deployment)
         self.deployment = Deployment(deployment)
         self.outbox = Outbox()
@@ -109,25 +115,25 @@
         )
 
     def _create_decision_components(
-        self, now: float, deployment: Mapping[str, Any], known: SharedComponents
+        self, now: float, deployment: Mapping[str, Any], shared: SharedComponents
     ) -> None:
-        """The parts that judge by what is known."""
-        settings, fleet = self.settings, self.deployment
-        self.limits = Limits(now, settings, fleet, self.latency)
-        self.retries = RetryPolicy(settings, self.latency, fleet.proxies, self.chance)
-        rates = quota_shares(deployment.get("tenants"), fleet.proxies)
-        self.quotas = TenantQuotas(now, rates, fleet, self.chance)
-        self.slow_start = SlowStart(now, deployment.get("bears") or 0.0, known)
-        self.origin_protection = OriginProtection(known, self.limits)
-        self.outliers = OutlierDetector(known, self.slow_start)
-        self.timeouts = Timeouts(known, self.retries, self.outliers)
-        self.selector = EndpointSelector(known, self.slow_start, self.outliers, self.origin_protection)
-        self.observer = AttemptObserver(known, self.limits, self.retries, self.slow_start, self.outliers)
+        """Creates the components that decide by the shared settings and measurements."""
+        settings, deployed_fleet = self.settings, self.deployment
+        self.limits = Limits(now, settings, deployed_fleet, self.latency)
+        self.retries = RetryPolicy(settings, self.latency, deployed_fleet.proxies, self.random_generator)
+        rates = quota_shares(deployment.get("tenants"), deployed_fleet.proxies)
+        self.quotas = TenantQuotas(now, rates, deployed_fleet, self.random_generator)
+        self.slow_start = SlowStart(now, deployment.get("bears") or 0.0, shared)
+        self.origin_protection = OriginProtection(shared, self.limits)
+        self.outliers = OutlierDetector(shared, self.slow_start)
+        self.timeouts = Timeouts(shared, self.retries, self.outliers)
+        self.selector = EndpointSelector(shared, self.slow_start, self.outliers, self.origin_protection)
+        self.observer = AttemptObserver(shared, self.limits, self.retries, self.slow_start, self.outliers)
 
     # Decisions
 
     def decide(self, now: float, request: Request) -> Decision | None:
-        """What becomes of a request now; None for one that needs no decision any more."""
+        """Decides on a request; returns None if it is finished or its answer is being streamed."""
         if request.finished or request.streaming:
             return None
         method = self.settings.by_method[request.method]
@@ -135,7 +141,7 @@
             self._on_new_request(now, request)
         if len(request.attempts) >= self.settings.max_attempts:
             return self._give_up(request, method)
-        if self.timeouts.remaining_ms(now, request, method) <= MIN_LEFT_MS:
+        if self.timeouts.remaining_ms(now, request, method) <= MIN_REMAINING_MS:
             return self._give_up(request, method)
         if not self.retries.may_send(now, request, method):
             return self._give_up(request, method)
@@ -145,9 +151,10 @@
 
     def _on_new_request(self, now: float, request: Request) -> None:
         request.within_quota = self.quotas.admit(now, request.tenant)
-        # Clocks differ: this end is in time for a final answer, whichever is ahead.
-        latest = min(now, request.expires_at) + self.settings.clock_error_ms
-        request.expires_at = max(request.expires_at, latest)
+        # The clocks of client and proxy differ by up to `clock_error_ms`: with this deadline the final answer
+        # is in time whichever clock is ahead.
+        min_expires_at = min(now, request.expires_at) + self.settings.clock_error_ms
+        request.expires_at = max(request.expires_at, min_expires_at)
         self.retries.on_request(now)
         self.placement.count_request(now, request.method)
         self.gossip.count_request(now, request.client_retry)
@@ -155,33 +162,33 @@
             self.key_counts.add(request.key)
 
     def _decide_for_origin(self, now: float, request: Request, method: MethodSettings) -> Decision:
-        """A request that only the origin can answer."""
+        """Decides on a request that only the origin can answer."""
         origin = self.endpoints.direct_origin
-        if origin is None or not self._has_room(now, self.limits.origin_limit, request):
+        if origin is None or not self._has_capacity(now, self.limits.origin_limit, request):
             return self._wait_or_give_up(now, request, method)
         return self._forward(now, request, origin, 1.0)
 
     def _decide_for_cache(self, now: float, request: Request, method: MethodSettings) -> Decision:
-        """A request that a cache may answer."""
-        has_room = bool(request.attempts) or self._has_room(now, self.limits.fleet_limit, request)
+        """Decides on a request that a cache may answer."""
+        has_capacity = bool(request.attempts) or self._has_capacity(now, self.limits.fleet_limit, request)
         endpoint = None
-        is_heavy = request.estimated_work_ms > HEAVY_WORK * self.settings.latency_objective_ms
-        if is_heavy or not has_room:
+        is_heavy = request.estimated_work_ms > HEAVY_WORK_FRACTION * self.settings.latency_objective_ms
+        if is_heavy or not has_capacity:
             endpoint = self.origin_protection.spare_origin(now, request)
-        if endpoint is None and has_room:
-            endpoint = self.selector.select(now, request, self.chance)
-        if endpoint is None:  # where there is room, waiting would not change what was tried
-            if has_room:
+        if endpoint is None and has_capacity:
+            endpoint = self.selector.select(now, request, self.random_generator)
+        if endpoint is None:  # with capacity left, a wait would not change which endpoints were tried
+            if has_capacity:
                 return self._give_up(request, method)
             return self._wait_or_give_up(now, request, method)
         probability = self._origin_probability(now, request, endpoint)
-        # What is likely to need the origin waits for room there, so that fetches do not overload it.
-        if probability and not self._has_room(now, self.limits.origin_limit, request):
+        # A request that may need the origin waits for capacity there, so that fetches do not overload it.
+        if probability and not self._has_capacity(now, self.limits.origin_limit, request):
             return self._wait_or_give_up(now, request, method)
         return self._forward(now, request, endpoint, probability)
 
     def _origin_probability(self, now: float, request: Request, endpoint: Endpoint) -> float:
-        """How likely the origin is asked, where the request goes to this endpoint."""
+        """Returns the probability that a request to this endpoint causes a request to the origin."""
         if not self.deployment.look_aside:
             if request.write:
                 return 1.0
@@ -189,7 +196,7 @@
                 return self.fetch_likelihood.of(self.slow_start.is_warming_up(now, endpoint))
         return float(endpoint is self.endpoints.direct_origin)
 
-    def _has_room(self, now: float, limit: ConcurrencyLimit, request: Request) -> bool:
+    def _has_capacity(self, now: float, limit: ConcurrencyLimit, request: Request) -> bool:
         return self.limits.admits(now, limit, request, self.traffic.low)
 
     def _forward(self, now: float, request: Request, endpoint: Endpoint, probability: float) -> Forward:
@@ -198,14 +205,14 @@
         request.attempts.append(Attempt(endpoint.name, now, probability))
         if endpoint is not self.endpoints.direct_origin:
             return Forward(endpoint.name, self.timeouts.attempt_timeout_ms(now, request, endpoint))
-        # The client is answered while the fetch goes on: one that is called off is not stored, and an
-        # overload of the origin would not end.
-        left = request.expires_at - now
-        answered = self.timeouts.remaining_ms(now, request, self.settings.by_method[request.method])
-        return Forward(endpoint.name, left, answered if answered < left else None)
+        # The client is answered early while the fetch continues: a cancelled fetch is not stored in a cache,
+        # so that an overload of the origin would not end.
+        timeout_ms = request.expires_at - now
+        answer_after_ms = self.timeouts.remaining_ms(now, request, self.settings.by_method[request.method])
+        return Forward(endpoint.name, timeout_ms, answer_after_ms if answer_after_ms < timeout_ms else None)
 
     def count_attempt(self, now: float, endpoint: Endpoint, probability: float) -> float:
-        """Counts an attempt as in flight; returns how much of the origin it takes."""
+        """Counts an attempt as in flight; returns its load on the origin, in requests in flight."""
         if endpoint.in_flight <= 0:
             endpoint.last_heard_at = now
         endpoint.in_flight += 1
@@ -217,68 +224,83 @@
         return probability
 
     def _wait_or_give_up(self, now: float, request: Request, method: MethodSettings) -> Decision:
-        """Not yet, while an answer within the latency objective is likely; else never."""
-        patience = 0.0
+        """Waits while an answer within the latency objective is still likely, and gives up otherwise."""
+        queueing_timeout_ms = 0.0
         if request.within_quota:
-            patience = (RETRY_PATIENCE if request.attempts else PATIENCE) * method.latency_objective_ms
-        if now - request.arrived_at >= patience:
+            queueing_timeout_ms = (
+                RETRY_QUEUEING_TIMEOUT_FRACTION if request.attempts else QUEUEING_TIMEOUT_FRACTION
+            ) * method.latency_objective_ms
+        if now - request.arrived_at >= queueing_timeout_ms:
             return self._give_up(request, method)
-        if self.timeouts.remaining_ms(now, request, method) <= MIN_LEFT_TO_WAIT_MS:
+        if self.timeouts.remaining_ms(now, request, method) <= MIN_REMAINING_TO_WAIT_MS:
             return self._give_up(request, method)
-        return Wait(WAIT_MS)
+        return Wait(CAPACITY_WAIT_MS)
 
     def _give_up(self, request: Request, method: MethodSettings) -> Reject | Fail:
-        return self.retries.give_up(request, method, self.chance)
+        return self.retries.give_up(request, method, self.random_generator)
 
     # Outcomes
 
     def on_attempt_result(
-        self, now: float, request: Request, number: int, took: float, note: str | None, report: object
+        self,
+        now: float,
+        request: Request,
+        number: int,
+        latency_ms: float,
+        cache_status: str | None,
+        load_report: object,
     ) -> Decision | None:
-        """Learns from an attempt's outcome, and decides on the request again where it has no answer.
+        """Updates measurements with an attempt's outcome, and decides again on a request without an answer.
 
         Args:
-            now: The present (ms).
-            request: The request; the attempt's outcome is in it.
-            number: Which of its attempts.
-            took: How long it took (ms).
-            note: What the cache noted of its answer, such as `hit`.
-            report: The load report that came with it, if any.
+            now: Current time (ms).
+            request: The request, which holds the outcome of the attempt.
+            number: Index of the attempt in the request.
+            latency_ms: How long the attempt took.
+            cache_status: Cache status of the answer, such as `hit`.
+            load_report: Load report that came with the answer, if any.
+
+        Raises:
+            ValueError: The attempt has no outcome.
         """
         attempt = request.attempts[number]
         outcome = attempt.outcome
         if outcome is None:
-            raise ValueError(f"attempt {number} of request {request.id} has no outcome")
+            raise ValueError(f"expected an outcome of attempt {number} of request {request.id}, found None")
         endpoint = self.endpoints.cache(attempt.endpoint)
-        # An answer that is passed on to a slow client is no load any more.
-        load = not attempt.response_started
+        # Once its answer is being streamed to the client, an attempt was already released: it is no load.
+        is_load = not attempt.response_started
         attempt.response_started = request.streaming
-        self.limits.origin_limit.add_in_flight(now, -attempt.origin_probability * load)
+        self.limits.origin_limit.add_in_flight(now, -attempt.origin_probability * is_load)
         if endpoint is not None:
-            self._release(now, endpoint, load)
-            if outcome != AttemptOutcome.WITHHELD:  # no endpoint is to blame for what the quota held back
+            self._release(now, endpoint, is_load)
+            if outcome != AttemptOutcome.WITHHELD:  # it was never sent, and shows nothing of the endpoint
                 if outcome != AttemptOutcome.TIMEOUT:
                     endpoint.last_heard_at = now
-                self.observer.observe(now, request, number, took, note, report)
-            self._close_if_seldom_used(now, endpoint)
+                self.observer.observe(now, request, number, latency_ms, cache_status, load_report)
+            self._close_rarely_used_connections(now, endpoint)
         elif outcome != AttemptOutcome.RESPONSE_STARTED:
-            self.origin_protection.on_direct_result(now, request, outcome, took)
+            self.origin_protection.on_direct_result(now, request, outcome, latency_ms)
         self.slow_readers.on_result(now, request, self.settings.by_method[request.method])
         self.retries.on_result(now, request, number)
         if request.finished or request.streaming:
             return None
-        return self._decide_after(now, request, outcome, took, endpoint)
+        return self._decide_after(now, request, outcome, latency_ms, endpoint)
 
-    def _release(self, now: float, endpoint: Endpoint, load: bool) -> None:
-        self.limits.fleet_limit.add_in_flight(now, -load)
-        endpoint.in_flight -= load
+    def _release(self, now: float, endpoint: Endpoint, is_load: bool) -> None:
+        self.limits.fleet_limit.add_in_flight(now, -is_load)
+        endpoint.in_flight -= is_load
 
-    def _close_if_seldom_used(self, now: float, endpoint: Endpoint) -> None:
-        """Without this, hundreds of proxies would each keep a connection, used once, until it goes idle."""
+    def _close_rarely_used_connections(self, now: float, endpoint: Endpoint) -> None:
+        """Closes connections to an endpoint that costs more to keep connected than to connect to again.
+
+        Without this, each of hundreds of proxies would keep a connection that it used once until the idle
+        time-out.
+        """
         if endpoint.in_flight:
             return
-        fleet = self.deployment
-        cost = self.traffic.sent_count(now) * fleet.proxies * fleet.new_connection_cost
+        deployment = self.deployment
+        cost = self.traffic.sent_count(now) * deployment.proxies * deployment.new_connection_cost
         if cost > IDLE_CONNECTION_FACTOR * len(self.placement.usable) * endpoint.sent.count(now):
             self.outbox.add(CloseConnections(endpoint.name))
 
@@ -287,115 +309,119 @@
         now: float,
         request: Request,
         outcome: AttemptOutcome,
-        took: float,
+        latency_ms: float,
         endpoint: Endpoint | None,
     ) -> Decision | None:
-        """What becomes of a request after an attempt that did not answer it."""
+        """Decides on a request after an attempt that did not answer it."""
         method = self.settings.by_method[request.method]
         if outcome == AttemptOutcome.MISSED:
             request.cache_missed = True
             request.cache_miss_retries += 1
-        # A stopped origin would be sent requests over and over.
+        # Without the wait, a stopped origin would be sent the same requests over and over.
         if endpoint is None and outcome in (AttemptOutcome.FULL, AttemptOutcome.UNCONNECTED):
             return self._wait_or_give_up(now, request, method)
-        if self._client_has_given_up(request, outcome, took):
+        if self._client_has_given_up(request, outcome, latency_ms):
             return self._give_up(request, method)
-        if outcome in UNPAID_OUTCOMES:
+        if outcome in FREE_RETRY_OUTCOMES:
             return self.decide(now, request)
-        left = self.timeouts.remaining_ms(now, request, method)
-        if self.retries.may_retry(now, request, outcome, left, self.chance):
+        remaining_ms = self.timeouts.remaining_ms(now, request, method)
+        if self.retries.may_retry(now, request, outcome, remaining_ms, self.random_generator):
             return self.decide(now, request)
         return self._give_up(request, method)
 
-    def _client_has_given_up(self, request: Request, outcome: AttemptOutcome, took: float) -> bool:
-        """Whether the client ended this request's wait by its own clock, which differs from ours."""
+    def _client_has_given_up(self, request: Request, outcome: AttemptOutcome, latency_ms: float) -> bool:
+        """Returns whether the client stopped waiting by its own clock, which differs from the proxy's."""
         if not self.settings.clock_error_ms:
             return False
         if outcome == AttemptOutcome.EXPIRED:
             return True
-        return outcome == AttemptOutcome.TIMEOUT and took < request.timeout_ms - 1.0
+        return outcome == AttemptOutcome.TIMEOUT and latency_ms < request.timeout_ms - 1.0
 
     def on_client_disconnected(self, now: float, request: Request) -> list[int]:
-        """The client has left: the numbers of the attempts to call off."""
+        """Returns the indices of the attempts to cancel after the client disconnected."""
         del now
         if not self.settings.can_cancel:
             return []
         return [number for number, attempt in enumerate(request.attempts) if attempt.outcome is None]
 
-    # News
+    # External events
 
     def on_endpoint_list(
         self, now: float, kind: str, version: int | None, entries: Iterable[ListEntry]
     ) -> None:
-        """Takes the list of endpoints.
+        """Applies an event of the endpoint list.
 
         Args:
-            now: The present (ms).
-            kind: `full`, `delta`, `cached` (one that was kept from before) or `failed` (none came).
-            version: The list's, where it has one.
-            entries: The endpoints.
+            now: Current time (ms).
+            kind: `full`, `delta`, `cached` (a list that was stored earlier) or `failed` (no list arrived).
+            version: Version of the list, if it has one.
+            entries: Listed endpoints.
         """
         del version
         if kind == "failed":
-            self.polling.on_failure(now, self.chance)
+            self.polling.on_failure(now, self.random_generator)
             return
         self.polling.on_list(kind == "cached")
         is_first = not self.endpoints.caches
         self.endpoints.apply_list(now, kind == "delta", entries)
         self._refresh_weights(now)
-        count = len(self.placement.usable)
-        self.limits.on_endpoint_count(count)
+        endpoint_count = len(self.placement.usable)
+        self.limits.on_endpoint_count(endpoint_count)
         if is_first:
-            self.limits.start(count, self.chance)
+            self.limits.start(endpoint_count, self.random_generator)
 
     def on_gossip(self, now: float, peer: int, message: bytes) -> None:
-        """A hint from a peer: it may be late, lost, doubled or mangled, and names no endpoint for us."""
+        """Applies a hint from a peer, which may be late, duplicated, damaged or of unknown endpoints."""
         waits = self.gossip.receive(now, peer, message)
         if not waits:
             return
         endpoints = {one.gossip_id: one for one in self.endpoints.caches.values()}
-        fleet = self.limits.fleet_limit
-        for gossip_id, wait in waits:
+        fleet_limit = self.limits.fleet_limit
+        for gossip_id, wait_ms in waits:
             if gossip_id in endpoints:
-                endpoints[gossip_id].record_wait(now, wait)
-                relative = min(1.0 + wait / self.latency.longest_baseline_ms, 2.0 * fleet.tolerance)
-                fleet.relative_latencies.add(now, relative)
+                endpoints[gossip_id].record_wait(now, wait_ms)
+                relative_latency = min(
+                    1.0 + wait_ms / self.latency.longest_baseline_ms, 2.0 * fleet_limit.tolerance
+                )
+                fleet_limit.relative_latencies.add(now, relative_latency)
 
     def _refresh_weights(self, now: float) -> None:
         ready = self.endpoints.ready_caches()
         self.placement.refresh(now, ready, {one.name: self.slow_start.weight(now, one) for one in ready})
         self.slow_start.on_refresh(now)
 
-    # Time
+    # Timers
 
     def next_wakeup(self, now: float) -> tuple[float, list[Action]]:
-        """Does what is due; how long until the next call (ms), and what is asked of the caller.
+        """Runs due updates; returns the time until the next call (ms) and the actions for the caller.
 
-        An idle proxy needs no update: nothing but the next poll of the list wakes it.
+        An idle proxy needs no update: only the next poll of the endpoint list wakes it.
         """
         self.polling.poll_if_due(now, self.settings.poll_interval_ms)
         if now >= self.next_update_at:
             self._update(now)
             self.next_update_at = now + UPDATE_INTERVAL_MS
-        self.gossip.send_if_due(now, self.chance)
+        self.gossip.send_if_due(now, self.random_generator)
         return max(1.0, self.polling.wait_ms(now)), self.outbox.drain()
 
     def _update(self, now: float) -> None:
-        """Fits limits and measures to what happened."""
+        """Updates limits and measurements."""
         self.limits.update(now)
-        fleet = self.limits.fleet_limit
-        self.outliers.update(fleet.relative_latencies.recent_mean(now, MIN_SAMPLES, fleet.window_ms))
+        fleet_limit = self.limits.fleet_limit
+        self.outliers.update(
+            fleet_limit.relative_latencies.recent_mean(now, MIN_SAMPLES, fleet_limit.window_ms)
+        )
         self.slow_start.update(now)
         self.limits.log_overload(now, self.outliers.fleet_relative_latency, self.outbox)
         if self.slow_start.is_refresh_due(now):
             self._refresh_weights(now)
         self.quotas.update_share_scale(self.gossip.arrivals.count(now), self.gossip.peer_request_counts(now))
         if now >= self.next_measurement_at:
-            self.next_measurement_at = now + MEASURE_INTERVAL_MS
+            self.next_measurement_at = now + MEASUREMENT_INTERVAL_MS
             self._measure(now)
 
     def _measure(self, now: float) -> None:
-        """Measures anew what changes slowly, and forgets what is old."""
+        """Updates slowly changing measurements and drops outdated state."""
         self.capacity.update(now)
         self.latency.update(now, self.settings.latency_objective_ms)
         self.limits.update_tolerances(self.traffic)
@@ -412,12 +438,12 @@
     def apply_settings(
         self, now: float, deployment: Mapping[str, Any], methods: dict[str, RawMethod]
     ) -> None:
-        """Takes other settings, whole.
+        """Replaces all settings.
 
         Args:
-            now: The present (ms).
-            deployment: The settings, as `config.settings` gives them out.
-            methods: Their methods, and those under which requests in hand end.
+            now: Current time (ms).
+            deployment: Settings in the form that `config.settings` returns.
+            methods: Methods of the settings, and those under which active requests end.
         """
         self.settings.apply(deployment, methods)
         self.retries.budget.apply_settings(self.settings.rules)
@@ -428,37 +454,43 @@
         self._refresh_weights(now)
 
     def set_quota_shares(self, quotas: Mapping[str, float], endpoint_rate: float | None) -> None:
-        """This proxy's parts of tenants' rates (requests a ms), and of an endpoint's rate, where told."""
+        """Sets this proxy's shares of tenants' quotas and of endpoint capacity.
+
+        Args:
+            quotas: Shares of tenants' quotas (requests per ms).
+            endpoint_rate: Share of the rate that a warm endpoint serves (requests per ms and unit of weight);
+                None leaves it unchanged.
+        """
         self.quotas.set_shares(quotas)
         if endpoint_rate is not None:
             self.slow_start.assigned_rate = endpoint_rate
 
-    # What is seen, and kept
+    # Inspection, learned state and replay
 
     @property
     def fleet_limit(self) -> ConcurrencyLimit:
-        """The limit on requests in flight at all caches."""
+        """The concurrency limit of all caches together."""
         return self.limits.fleet_limit
 
     @property
     def origin_limit(self) -> ConcurrencyLimit:
-        """The limit on requests in flight at the origin."""
+        """The concurrency limit of the origin."""
         return self.limits.origin_limit
 
-    def set_next_origin_slot(self, at: float) -> None:
-        """No request that may need the origin goes before this time (ms)."""
-        self.limits.origin_limit.next_start_at = at
+    def set_next_origin_slot(self, starts_at: float) -> None:
+        """Sets the time (ms) before which no request that may need the origin is forwarded."""
+        self.limits.origin_limit.next_start_at = starts_at
 
     def is_before_origin_slot(self, now: float) -> bool:
-        """Whether requests that may need the origin have to wait for their turn."""
+        """Returns whether requests that may need the origin have to wait for the next rate slot."""
         return now < self.limits.origin_limit.next_start_at
 
     def heavily_degraded_count(self, now: float) -> int:
-        """How many ready endpoints get an eighth of what they own at most."""
+        """Counts the ready endpoints that get at most an eighth of their share of the load."""
         return self.outliers.heavily_degraded_count(now)
 
     def rejection_cause(self, now: float, request: Request) -> str:
-        """What held back a request that was given up. Changes nothing."""
+        """Returns why a request was given up, without changing any state."""
         ranking: list[Endpoint] = []
         if request.key is not None:
             ranking = self.placement.ranking(request.key, self.placement.constraints[request.method])
@@ -480,26 +512,26 @@
         )
 
     def learned_state(self, now: float) -> dict[str, dict[str, float]]:
-        """What this life has found out: limits, baselines (ms), fractions of degraded endpoints."""
+        """Returns limits, baselines (ms) and the fractions of degraded endpoints, to be stored."""
         caches = self.endpoints.caches.values()
         return {
             "limits": {"fleet": self.fleet_limit.value, "origin": self.origin_limit.value},
-            "usual": self.latency.measured() | {FETCH: self.latency.fetch_baseline_ms},
+            "usual": self.latency.measured() | {FETCH_KEY: self.latency.fetch_baseline_ms},
             "parts": {
                 one.name: one.current_fraction(now) for one in caches if one.current_fraction(now) < 1.0
             },
         }
 
     def restore_learned_state(self, now: float, learned: Mapping[str, Mapping[str, float]]) -> None:
-        """Begins from what a former life found out; all endpoints in it are known."""
+        """Restores the state that an earlier incarnation learned; all endpoints in it must be known."""
         for name, limit in (("fleet", self.fleet_limit), ("origin", self.origin_limit)):
             limit.value = max(limit.value, learned["limits"].get(name, 0.0))
-        self.latency.restore(learned["usual"], learned["usual"].get(FETCH))
+        self.latency.restore(learned["usual"], learned["usual"].get(FETCH_KEY))
         for name, fraction in learned["parts"].items():
             self.outliers.restore(now, self.endpoints.caches[name], fraction)
 
     def withdraw_attempt(self, now: float, request: Request, attempt: Attempt) -> None:
-        """An attempt was never made: a replay goes on as the record does."""
+        """Undoes an attempt, for a replay that follows a record in which it was not made."""
         endpoint = self.endpoints.cache(attempt.endpoint)
         if endpoint is not None:
             self._release(now, endpoint, True)
@@ -507,7 +539,7 @@
         request.attempts.remove(attempt)
 
     def force_attempt(self, now: float, request: Request, name: str) -> None:
-        """An attempt was made at an endpoint of that name: a replay goes on as the record does."""
+        """Adds an attempt at a named endpoint, for a replay that follows a record in which it was made."""
         endpoint = self.endpoints.find(name)
         if endpoint is None:
             request.attempts.append(Attempt(name, now))
--- a/calicofall/routing/request.py
+++ b/calicofall/routing/request.py
@@ -1,42 +1,42 @@
-"""A request in hand: what the client asked for, and the attempts that were made for it so far."""
+"""A client's request and the attempts made for it."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-SETTINGS_VERSION_SEPARATOR = "\0"  # between a method's name and the versions under which it was taken
+SETTINGS_VERSION_SEPARATOR = "\0"  # between a method's name and the settings version of its alias
 
-# What a request has in common with others: the field's name and its value.
+# A property that requests have in common: name and value of the field.
 RequestGroup = tuple[str, object]
 
 
 class AttemptOutcome(StrEnum):
-    """What became of an attempt, as records and the simulator's wire spell it."""
+    """The outcome of an attempt, as records and the simulator's messages spell it."""
 
     COMPLETED = "completed"
-    MISSED = "missed"  # the cache lacked the key
-    ERROR = "error"  # an answer that tells of a failure
-    CORRUPT = "spoilt"  # an answer that cannot be read
-    RESET = "reset"  # the connection was reset while the attempt was out
-    UNCONNECTED = "unconnected"  # no connection came up
-    FULL = "full"  # the endpoint refused it, as it has no room
+    MISSED = "missed"  # the cache did not hold the key
+    ERROR = "error"  # the answer was an error
+    CORRUPT = "spoilt"  # the answer could not be parsed
+    RESET = "reset"  # the connection was reset during the attempt
+    UNCONNECTED = "unconnected"  # no connection was established
+    FULL = "full"  # the endpoint refused the request for lack of capacity
     TIMEOUT = "timeout"
-    EXPIRED = "moot"  # the endpoint found its deadline passed, and did not run it
-    WITHHELD = "held"  # held back here by the proxy's quota, and never sent
+    EXPIRED = "moot"  # the endpoint did not run the request, as its deadline had passed
+    WITHHELD = "held"  # not sent because of the proxy's quota of requests in flight
     CANCELLED = "cancelled"
-    RESPONSE_STARTED = "begun"  # the answer has begun to be passed on; the end is still to come
+    RESPONSE_STARTED = "begun"  # the answer is being streamed to the client
 
 
 class RetrySafety(StrEnum):
     """Whether a request may be repeated, as the settings spell it."""
 
     IDEMPOTENT = "retriable"
-    IDEMPOTENCY_KEY = "deduped"  # endpoints of a group drop repeats for a while
+    IDEMPOTENCY_KEY = "deduped"  # the endpoints of a group drop duplicates for some time
     NON_IDEMPOTENT = "non-retriable"
 
 
 OUTCOME_BY_NAME = {outcome.value: outcome for outcome in AttemptOutcome}
 
-# Outcomes that prove that an attempt never ran; every other one, and none yet, may have run.
+# Outcomes that prove that an attempt never ran; with any other outcome, or none yet, it may have run.
 OUTCOMES_NEVER_RUN = frozenset(
     {
         AttemptOutcome.FULL,
@@ -50,17 +50,17 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """A request as it was forwarded to one endpoint."""
+    """A request as forwarded to one endpoint."""
 
     endpoint: str
     sent_at: float
-    origin_probability: float = 0.0  # how likely the origin is asked
+    origin_probability: float = 0.0  # load on the origin limit: probability of a request to the origin
     outcome: AttemptOutcome | None = None
-    response_started: bool = False  # its answer has begun to come, and is passed on
-    rate_slots: tuple[float, ...] = ()  # at the origin, that it took
+    response_started: bool = False  # whether the answer is being streamed to the client
+    rate_slots: tuple[float, ...] = ()  # at the origin, taken for this attempt (times in s)
 
     def may_have_run(self) -> bool:
-        """Whether nothing proves that it never ran."""
+        """Returns whether the attempt may have run."""
         return self.outcome not in OUTCOMES_NEVER_RUN
 
 
@@ -74,34 +74,34 @@
     key: int | None
     write: bool
     arrived_at: float
-    expires_at: float  # the client gives up this try then
-    client_retry: bool = False
+    expires_at: float  # when the client gives up this request
+    client_retry: bool = False  # the client repeats an earlier request
     attempts: list[Attempt] = field(default_factory=list)
-    finished: bool = False  # answered, or its client has left
-    streaming: bool = False  # a stream has begun: no deadline, no further attempt
-    cache_missed: bool = False  # a cache lacked the key: the origin is next
-    cache_miss_retries: int = 0  # attempts that misses allow beside the retry budget
-    estimated_work_ms: float = 0.0  # how long a cache may work on it, by a rough hint; 0 where none came
-    within_quota: bool | None = None  # of its tenant's quota; unknown until first asked about
-    answer: str | None = None  # the final one: completed, exhausted or errored
-    retry_after_ms: float = 0.0  # when the client may ask again, where exhausted
-    timeout_ms: float = 0.0  # how long the last attempt is waited for
+    finished: bool = False  # answered, or its client has disconnected
+    streaming: bool = False  # the answer is being streamed: no deadline, no further attempt
+    cache_missed: bool = False  # a cache did not hold the key: the origin is next
+    cache_miss_retries: int = 0  # attempts after cache misses, which the retry budget does not limit
+    estimated_work_ms: float = 0.0  # estimated time that a cache works on it; 0 if the client sent no hint
+    within_quota: bool | None = None  # whether it is within its tenant's quota; None until checked
+    answer: str | None = None  # the final answer: completed, exhausted or errored
+    retry_after_ms: float = 0.0  # when the client may retry, if the answer is exhausted
+    timeout_ms: float = 0.0  # time-out of the last attempt
 
     @property
     def name(self) -> str:
-        """Its method as clients name it: taken under an earlier version, it stands under another name."""
+        """The name of its method as clients spell it, without the settings version of an alias."""
         return self.method.partition(SETTINGS_VERSION_SEPARATOR)[0]
 
     def groups(self) -> list[RequestGroup]:
-        """What it has in common with others, and that it is one at all."""
-        known: tuple[RequestGroup, ...] = (
+        """Returns the groups of requests that it belongs to; the last one is that of all requests."""
+        groups: tuple[RequestGroup, ...] = (
             ("key", self.key),
             ("tenant", self.tenant),
             ("method", self.method),
             ("all", ""),
         )
-        return [group for group in known if group[1] is not None]
+        return [group for group in groups if group[1] is not None]
 
     def first_possibly_run(self) -> Attempt | None:
-        """The first attempt that may have run."""
+        """Returns the first attempt that may have run, if any."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run()), None)
--- a/calicofall/routing/retry_policy.py
+++ b/calicofall/routing/retry_policy.py
@@ -1,6 +1,6 @@
-"""Which requests are sent again: by their effect, by the retry budget, and by what failed lately.
+"""Retries: decided by a request's side effects, the retry budget and recent failures.
 
-Invariants: a request that must not have its effect twice is not sent again once it may have run.
+Invariants: a request that must not take effect twice is not retried once it may have run.
 """
 
 from collections.abc import Mapping
@@ -13,91 +13,96 @@
 from calicofall.routing.settings import MethodSettings, RoutingSettings
 from calicofall.routing.sliding_window import SlidingWindow
 
-FLEET_ALLOWANCE = 30.0  # retries that all proxies together may make at once without a budget in the settings
+# The allowance limits retries if the settings have no retry budget: all proxies together may make so many
+# retries at once, and each request adds to the allowance of its proxy.
+FLEET_ALLOWANCE = 30.0
 ALLOWANCE_PER_REQUEST = 0.2
-FAILS_EVERYWHERE = 0.75  # of a group's requests that were sent again and failed again
-GROUP_SPAN_MS = 8_000.0  # for how long the failures of a group are known
+# A group counts as failing everywhere if a larger share of its retried requests failed again.
+FAILING_GROUP_SHARE = 0.75
+GROUP_SPAN_MS = 8_000.0  # failures of a group are counted over this time
 GROUP_MIN_SAMPLES = 3
-TRIAL_PROBABILITY = 1 / 16  # of a try against what is known, by which one learns that it has passed
-OVER_QUOTA_BUDGET = 0.25  # of the budget, for requests beyond their tenant's quota
-# Failures by chance: another attempt, even at the same endpoint, may succeed.
+TRIAL_PROBABILITY = 1 / 16  # of an attempt despite a known failure, which detects its end
+OVER_QUOTA_BUDGET_FRACTION = 0.25  # of the retry budget, for requests beyond their tenant's quota
+# Failures after which another attempt may succeed, even at the same endpoint.
 TRANSIENT_FAILURES = frozenset(
     {AttemptOutcome.ERROR, AttemptOutcome.CORRUPT, AttemptOutcome.RESET, AttemptOutcome.UNCONNECTED}
 )
 
 
 class RetryBudget:
-    """A retry budget: in any span `spare` attempts beyond requests' first, and `ratio` of the requests taken.
+    """A retry budget: limits the further attempts of requests in any span of time.
 
-    Rounds against itself: an attempt counts up to two buckets too long, a request up to one too short.
+    A fixed number of further attempts is allowed in each span, plus a ratio of the requests accepted in it.
+    Rounding is conservative: an attempt counts for up to two buckets too long, a request for up to one bucket
+    too short.
     """
 
     def __init__(self, rules: Mapping[str, Any]) -> None:
-        """Reads the rules of a deployment: `retry_span` (ms), `retry_spare` and `retry_ratio`."""
-        span = rules.get("retry_span") or 1.0
+        """Reads `retry_span` (ms), `retry_spare` and `retry_ratio` from the rules of a deployment."""
+        span_ms = rules.get("retry_span") or 1.0
         self.enabled = bool(rules.get("retry_span"))
         self.fixed_attempts: float = rules.get("retry_spare") or 0.0
         self.attempts_per_request: float = rules.get("retry_ratio") or 0.0
-        self.requests = SlidingWindow(span, 40)
-        self.extra_attempts = SlidingWindow(span * 1.05, 42)
+        self.requests = SlidingWindow(span_ms, 40)
+        self.extra_attempts = SlidingWindow(span_ms * 1.05, 42)
 
-    def allows(self, now: float, part: float) -> bool:
-        """Whether one more may go, for who may use this part of what is allowed now."""
+    def allows(self, now: float, fraction: float) -> bool:
+        """Returns whether this fraction of the budget allows one more attempt."""
         if not self.enabled:
             return True
-        allowed = part * (self.fixed_attempts + self.attempts_per_request * self.requests.count(now))
+        allowed = fraction * (self.fixed_attempts + self.attempts_per_request * self.requests.count(now))
         return self.extra_attempts.count(now) + 1.0 <= allowed
 
     def apply_settings(self, rules: Mapping[str, Any]) -> None:
-        """Takes other amounts; the span and whether there is a budget stay as they were."""
+        """Replaces the amounts; the span, and whether there is a budget, do not change."""
         self.fixed_attempts = rules.get("retry_spare") or 0.0
         self.attempts_per_request = rules.get("retry_ratio") or 0.0
 
 
-def is_repeat_safe(now: float, method: MethodSettings, first: Attempt | None) -> bool:
-    """Whether another attempt cannot have an effect twice.
+def is_repeat_safe(now: float, method: MethodSettings, first_attempt: Attempt | None) -> bool:
+    """Returns whether another attempt cannot make a request take effect twice.
 
     Args:
-        now: The present (ms).
-        method: The request's method.
-        first: The first attempt that may have run, if any.
+        now: Current time (ms).
+        method: Settings of the request's method.
+        first_attempt: First attempt that may have run, if any.
     """
-    if first is None or method.retry_safety == RetrySafety.IDEMPOTENT:
+    if first_attempt is None or method.retry_safety == RetrySafety.IDEMPOTENT:
         return True
     if method.retry_safety != RetrySafety.IDEMPOTENCY_KEY:
         return False
-    return now < first.sent_at + method.idempotency_window_ms
+    return now < first_attempt.sent_at + method.idempotency_window_ms
 
 
 class RetryPolicy:
-    """The retry budget, the allowance of retries, and groups of requests that fail everywhere."""
+    """The retry budget, the retry allowance, and groups of requests that fail at every endpoint."""
 
     def __init__(
-        self, settings: RoutingSettings, latency: LatencyBaselines, proxies: int, chance: Random
+        self, settings: RoutingSettings, latency: LatencyBaselines, proxies: int, random_generator: Random
     ) -> None:
-        """Begins with a random part of the allowance, so that proxies of one start do not act in step."""
+        """Starts with a random part of the allowance, so that proxies started together do not synchronize."""
         self._settings = settings
         self._latency = latency
         self.max_allowance = max(1.0, FLEET_ALLOWANCE / proxies)
-        self.allowance = self.max_allowance * chance.random()
+        self.allowance = self.max_allowance * random_generator.random()
         self.budget = RetryBudget(settings.rules)
-        # By group, requests that failed again when sent again.
+        # By group: 1 for each retried request that failed again, 0 for each that did not.
         self.failing_groups: dict[RequestGroup, SlidingWindow] = {}
 
     def on_request(self, now: float) -> None:
-        """A request came: it adds to the allowance and the budget."""
+        """Adds to the allowance and the budget for a new request."""
         self.allowance = min(self.max_allowance, self.allowance + ALLOWANCE_PER_REQUEST)
         self.budget.requests.add(now)
 
     def on_forward(self, now: float, request: Request) -> None:
-        """A request is forwarded: a further attempt is paid for, unless a miss allowed it."""
+        """Counts a further attempt against the budget, unless a cache miss allowed it."""
         if request.cache_miss_retries:
             request.cache_miss_retries -= 1
         elif request.attempts:
             self.budget.extra_attempts.add(now)
 
     def on_result(self, now: float, request: Request, number: int) -> None:
-        """An attempt has ended: what it tells of the request's groups, where the one before it failed."""
+        """Updates the request's groups with the outcome of a retry after an error."""
         outcome = request.attempts[number].outcome
         if not number or outcome not in (AttemptOutcome.ERROR, AttemptOutcome.COMPLETED):
             return
@@ -108,68 +113,74 @@
             self.failing_groups.setdefault(group, SlidingWindow(GROUP_SPAN_MS, 4)).add(now, failed)
 
     def has_allowance(self) -> bool:
-        """Whether a retry could be paid for from the allowance."""
+        """Returns whether the allowance permits a retry."""
         return self.allowance >= 1
 
     def may_send(self, now: float, request: Request, method: MethodSettings) -> bool:
-        """Whether another attempt is within the budget, dear requests first, and has no effect twice."""
+        """Returns whether the budget permits another attempt, by priority, and a repeat is safe."""
         attempts = request.attempts
         if not attempts:
             return True
         if not request.cache_miss_retries:
-            part = OVER_QUOTA_BUDGET
+            budget_fraction = OVER_QUOTA_BUDGET_FRACTION
             if request.within_quota:
-                part = 0.5 + 0.5 * self._settings.priority[request.method]
-            if not self.budget.allows(now, part / self._settings.process_count):
+                budget_fraction = 0.5 + 0.5 * self._settings.priority[request.method]
+            if not self.budget.allows(now, budget_fraction / self._settings.process_count):
                 return False
         if any(attempt.outcome is None for attempt in attempts):
             return False
         return is_repeat_safe(now, method, request.first_possibly_run())
 
     def may_retry(
-        self, now: float, request: Request, outcome: AttemptOutcome, remaining_ms: float, chance: Random
+        self,
+        now: float,
+        request: Request,
+        outcome: AttemptOutcome,
+        remaining_ms: float,
+        random_generator: Random,
     ) -> bool:
-        """Whether a request whose attempt failed is to be sent again, and pays for it.
+        """Returns whether to retry a request whose attempt failed; a retry is deducted from the allowance.
 
-        Retries are a part of what comes in, not of what fails: else they would make an overload worse.
+        Retries are limited to a ratio of incoming requests, not of failures: otherwise they would amplify an
+        overload.
         """
-        usual = self._latency.baseline_ms(request.method)
-        # Requests that fail wherever they go would load every endpoint in turn; now and then one is tried.
-        hopeless = outcome == AttemptOutcome.ERROR and self.fails_everywhere(
+        baseline_ms = self._latency.baseline_ms(request.method)
+        # Requests that fail at every endpoint would load all of them in turn; a few are tried nevertheless.
+        fails_everywhere = outcome == AttemptOutcome.ERROR and self.fails_everywhere(
             now, request, now - request.attempts[-1].sent_at
         )
-        if hopeless and chance.random() >= TRIAL_PROBABILITY:
+        if fails_everywhere and random_generator.random() >= TRIAL_PROBABILITY:
             return False
-        fine = (self.budget.enabled or self.allowance >= 1) and remaining_ms >= (usual or 0.0)
-        if fine:  # what failed soon costs less
+        may_retry = (self.budget.enabled or self.allowance >= 1) and remaining_ms >= (baseline_ms or 0.0)
+        if may_retry:  # a transient failure ends sooner and costs less
             self.allowance -= 0.5 if outcome in TRANSIENT_FAILURES else 1.0
-        return fine
+        return may_retry
 
     def fails_everywhere(self, now: float, request: Request, latency_ms: float) -> bool:
-        """Whether requests of one of its groups fail soon wherever they go, by those sent again lately."""
-        if latency_ms >= self._latency.fetch_baseline_ms:  # an overloaded origin would pass for bad requests
+        """Returns whether retried requests of one of its groups recently failed fast at every endpoint."""
+        if latency_ms >= self._latency.fetch_baseline_ms:  # a slow failure may be an overload of the origin
             return False
         for group in request.groups():
             window = self.failing_groups.get(group)
             if window is None:
                 continue
-            if (window.recent_mean(now, GROUP_MIN_SAMPLES, GROUP_SPAN_MS / 4) or 0.0) > FAILS_EVERYWHERE:
+            if (window.recent_mean(now, GROUP_MIN_SAMPLES, GROUP_SPAN_MS / 4) or 0.0) > FAILING_GROUP_SHARE:
                 return True
         return False
 
-    def give_up(self, request: Request, method: MethodSettings, chance: Random) -> Reject | Fail:
-        """Rejects a request where a repeat by its client is harmless, and fails it where it might not be."""
-        repeats = method.retry_safety
+    def give_up(self, request: Request, method: MethodSettings, random_generator: Random) -> Reject | Fail:
+        """Rejects a request that its client may safely repeat, and fails any other."""
+        retry_safety = method.retry_safety
         if (
-            repeats == RetrySafety.IDEMPOTENT
+            retry_safety == RetrySafety.IDEMPOTENT
             or request.first_possibly_run() is None
-            or (repeats == RetrySafety.IDEMPOTENCY_KEY and method.deduplication_group == "all")
+            or (retry_safety == RetrySafety.IDEMPOTENCY_KEY and method.deduplication_group == "all")
         ):
-            return Reject(self._settings.max_retry_after_ms * chance.uniform(0.3, 0.6))
+            return Reject(self._settings.max_retry_after_ms * random_generator.uniform(0.3, 0.6))
         return Fail()
 
     def forget(self, now: float) -> None:
-        """Drops groups of which nothing was seen lately."""
+        """Drops groups without recent retries."""
         self.failing_groups = {
             group: window for group, window in self.failing_groups.items() if window.count(now)
         }
--- a/calicofall/routing/slow_readers.py
+++ b/calicofall/routing/slow_readers.py
@@ -1,58 +1,67 @@
-"""Clients that read their answers slowly, while answers wait for them in a bounded number of buffers.
+"""Clients that read their answers slowly, while answers wait for them in a limited number of buffers.
 
-Their time must not pass for the endpoints', and buffers must not all be held for answers that are late.
+The time of slow readers must not count as latency of endpoints, and late answers must not use all buffers.
 """
 
 from calicofall.routing.request import AttemptOutcome, Request
 from calicofall.routing.settings import MethodSettings, RoutingSettings
 from calicofall.routing.sliding_window import SlidingWindow
 
-LATE_SPAN_MS = 4_000.0
-SLOWER = 0.8  # of a latency: a last one that is less speaks against the reader
-OBJECTIVE_MARGIN_MS = 10.0
+LATE_SPAN_MS = 4_000.0  # late requests are counted over this time
+# A time-out counts against the reader if the last latency was below this fraction of it.
+READER_LATENCY_RATIO = 0.8
+OBJECTIVE_MARGIN_MS = 10.0  # a request counts as late from so long before its latency objective
 
 
 class SlowReaders:
-    """How many requests end late, and the last latencies by endpoint."""
+    """The number of late requests, and the last latencies by endpoint."""
 
     def __init__(self, settings: RoutingSettings) -> None:
-        """None is known."""
+        """Starts without late requests."""
         self._settings = settings
-        self.late_requests = SlidingWindow(LATE_SPAN_MS, 8)  # requests that ended past the latency objective
-        self.last_latencies: dict[str | None, float] = {}  # by endpoint (ms); None: whichever fetched last
+        self.late_requests = SlidingWindow(LATE_SPAN_MS, 8)  # attempts that ended after the latency objective
+        # Latency of the last answer by endpoint (ms); None: of the last answer that took a fetch.
+        self.last_latencies: dict[str | None, float] = {}
 
     def on_result(self, now: float, request: Request, method: MethodSettings) -> None:
-        """An attempt has ended: counted where it is late."""
-        late = method.latency_objective_ms - OBJECTIVE_MARGIN_MS
-        if self._settings.answer_buffers and now - request.arrived_at >= late:
+        """Counts an attempt that ended late."""
+        late_after_ms = method.latency_objective_ms - OBJECTIVE_MARGIN_MS
+        if self._settings.answer_buffers and now - request.arrived_at >= late_after_ms:
             self.late_requests.add(now)
 
     def fill_buffers(self, now: float, method: MethodSettings) -> bool:
-        """Whether slow readers would fill half of the buffers, were they waited for to the end."""
-        rest = method.deadline_ms - method.latency_objective_ms
-        # Without any buffers none is counted.
-        return 0 < self._settings.answer_buffers < 2.0 * self.late_requests.count(now) / LATE_SPAN_MS * rest
+        """Returns whether late answers, kept until their deadlines, would use half of the buffers."""
+        late_span_ms = method.deadline_ms - method.latency_objective_ms
+        # Without a limit on buffers, no late request is counted.
+        return (
+            0
+            < self._settings.answer_buffers
+            < 2.0 * self.late_requests.count(now) / LATE_SPAN_MS * late_span_ms
+        )
 
     def endpoint_latency(
         self, endpoint: str, outcome: AttemptOutcome, latency_ms: float, fetched: bool
     ) -> float | None:
-        """The part of a latency that may be the endpoint's; None where it is likely to be the reader's.
+        """Returns the latency that counts as the endpoint's; None if the reader probably caused it.
 
-        Of two answers in a row the sooner counts, so that one slow reader does not blame an endpoint. An
-        endpoint that turns slow is known an answer later.
+        The shorter latency of two successive answers counts, so that one slow reader does not count against
+        an endpoint. An endpoint that becomes slow is detected one answer later.
         """
         if not self._settings.answer_buffers:
             return latency_ms
         if outcome not in (AttemptOutcome.COMPLETED, AttemptOutcome.TIMEOUT):
             return latency_ms
-        of = None if fetched else endpoint
-        last = self.last_latencies.get(of, latency_ms)
+        measured = None if fetched else endpoint
+        last_latency_ms = self.last_latencies.get(measured, latency_ms)
         if outcome == AttemptOutcome.COMPLETED:
-            self.last_latencies[of] = latency_ms
-        elif max(last, self.last_latencies.get(None, latency_ms)) < SLOWER * latency_ms:
+            self.last_latencies[measured] = latency_ms
+        elif (
+            max(last_latency_ms, self.last_latencies.get(None, latency_ms))
+            < READER_LATENCY_RATIO * latency_ms
+        ):
             return None
-        return min(latency_ms, last)
+        return min(latency_ms, last_latency_ms)
 
     def forget(self) -> None:
-        """Drops the last latencies, so that those of endpoints that are gone take no memory."""
+        """Drops the last latencies, so that endpoints that are gone take no memory."""
         self.last_latencies = {}
--- a/calicofall/routing/timeouts.py
+++ b/calicofall/routing/timeouts.py
@@ -1,4 +1,4 @@
-"""How long an answer has worth, and how long an attempt is waited for."""
+"""Time limits: how long an answer is useful, and time-outs of attempts."""
 
 from calicofall.routing.endpoint import Endpoint
 from calicofall.routing.knowledge import SharedComponents
@@ -7,17 +7,20 @@
 from calicofall.routing.retry_policy import RetryPolicy
 from calicofall.routing.settings import MethodSettings
 
-OBJECTIVE_MARGIN_MS = 5.0  # ahead of a latency objective
-LATE_BASELINES = 3.0  # baselines after which a read may be called off, where endpoints are seldom met
-FETCH_BASELINES = 1.3  # baselines of a fetch that an answer may need beside
-SECOND_TRY_BASELINES = 2.0  # baselines that have to be left for another endpoint
+OBJECTIVE_MARGIN_MS = 5.0  # work on an answer ends so long before its latency objective
+# Factors of baseline latencies: a read with low traffic times out after so many baselines of its method, or
+# after so many baselines of a fetch (plus one of its method) if it may need one; and so many baselines of its
+# method must remain for another endpoint.
+READ_TIMEOUT_BASELINES = 3.0
+FETCH_TIMEOUT_BASELINES = 1.3
+SECOND_ATTEMPT_BASELINES = 2.0
 
 
 class Timeouts:
-    """Bounds on the time that a request is worked on."""
+    """Limits on the time spent on a request."""
 
     def __init__(self, shared: SharedComponents, retries: RetryPolicy, outliers: OutlierDetector) -> None:
-        """Holds no state of its own: the parts it is given do."""
+        """Keeps no state of its own: its components do."""
         self._settings = shared.settings
         self._deployment = shared.deployment
         self._endpoints = shared.endpoints
@@ -30,41 +33,53 @@
         self._outliers = outliers
 
     def remaining_ms(self, now: float, request: Request, method: MethodSettings) -> float:
-        """How long an answer has worth, so that none is worked on for nothing where a late one has none.
+        """Returns how long an answer is useful, so that no work is spent on late answers without value.
 
-        With few requests late answers are of use in the first seconds: the proxy learns from them.
+        The answer to an idempotent request whose method gives late answers no value is useful until the
+        latency objective, in look-aside deployments and in large fleets with low traffic. Other answers are
+        useful until the deadline: the proxy needs late answers for its first measurements.
         """
-        ends = self._deployment.look_aside or (self._traffic.low and self._deployment.large_fleet)
-        ends = ends and not method.late_value
-        # Late answers are given up while slow readers fill the buffers: usual readers would wait behind them.
-        ends = self._slow_readers.fill_buffers(now, method) or ends
-        if ends and method.retry_safety == RetrySafety.IDEMPOTENT:
-            objective = request.arrived_at + method.latency_objective_ms - OBJECTIVE_MARGIN_MS
-            return min(request.expires_at, objective) - now
+        ends_at_objective = self._deployment.look_aside or (
+            self._traffic.low and self._deployment.large_fleet
+        )
+        ends_at_objective = ends_at_objective and not method.late_value
+        # While slow readers fill the buffers, late answers are dropped: other clients would wait behind them.
+        ends_at_objective = self._slow_readers.fill_buffers(now, method) or ends_at_objective
+        if ends_at_objective and method.retry_safety == RetrySafety.IDEMPOTENT:
+            objective_at = request.arrived_at + method.latency_objective_ms - OBJECTIVE_MARGIN_MS
+            return min(request.expires_at, objective_at) - now
         return request.expires_at - now
 
     def attempt_timeout_ms(self, now: float, request: Request, endpoint: Endpoint) -> float:
-        """How long an attempt is waited for: a read is called off while another endpoint can still help.
+        """Returns the time-out of an attempt: a read times out while another endpoint can still answer.
 
-        Without that, requests that were sent to a machine that vanished would all be lost.
+        Without this, all requests that were sent to a failed machine would be lost.
         """
         method = self._settings.by_method[request.method]
-        usual = self._latency.baseline_ms(request.method)
-        cached = self._cached_keys.holds(endpoint.name, request.key)
+        baseline_ms = self._latency.baseline_ms(request.method)
+        is_cached = self._cached_keys.holds(endpoint.name, request.key)
         look_aside = self._deployment.look_aside
-        left = request.expires_at - now
-        # A fetch that is called off is not stored: called off again and again, an overload would have no end.
-        if cached or look_aside or self._slow_readers.fill_buffers(now, method):
-            left = self.remaining_ms(now, request, method)
-        if not usual or not self._traffic.low or not self._retries.has_allowance():
-            return left
+        remaining_ms = request.expires_at - now
+        # A cancelled fetch is not stored: with repeated cancellations, an overload would not end.
+        if is_cached or look_aside or self._slow_readers.fill_buffers(now, method):
+            remaining_ms = self.remaining_ms(now, request, method)
+        if not baseline_ms or not self._traffic.low or not self._retries.has_allowance():
+            return remaining_ms
         if self._endpoints.cache(endpoint.name) is None:
-            return left
-        fetch = 0.0 if cached or look_aside else FETCH_BASELINES * self._latency.fetch_baseline_ms + usual
-        late = LATE_BASELINES * usual * self._outliers.fleet_relative_latency + self._zone_latency.extra_ms(
-            endpoint
+            return remaining_ms
+        fetch_baseline_ms = (
+            0.0
+            if is_cached or look_aside
+            else FETCH_TIMEOUT_BASELINES * self._latency.fetch_baseline_ms + baseline_ms
+        )
+        read_timeout_ms = (
+            READ_TIMEOUT_BASELINES * baseline_ms * self._outliers.fleet_relative_latency
+            + self._zone_latency.extra_ms(endpoint)
         )
-        soon = max(late, fetch)
-        if method.retry_safety == RetrySafety.IDEMPOTENT and left - soon >= SECOND_TRY_BASELINES * usual:
-            return soon
-        return left
+        timeout_ms = max(read_timeout_ms, fetch_baseline_ms)
+        if (
+            method.retry_safety == RetrySafety.IDEMPOTENT
+            and remaining_ms - timeout_ms >= SECOND_ATTEMPT_BASELINES * baseline_ms
+        ):
+            return timeout_ms
+        return remaining_ms
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -430,7 +430,7 @@
             going.remove((end, request, outcome))
             request.attempts[0].outcome, request.finished = outcome, True
             policy.on_attempt_result(now, request, 0, now - request.arrived_at, "hit", None)
-        request = rpc_for("read", policy.chance.randrange(60), now, now + 400.0)
+        request = rpc_for("read", policy.random_generator.randrange(60), now, now + 400.0)
         if isinstance(send(policy, now, request), Forward):
             name = request.attempts[0].endpoint
             sends[name] = sends.get(name, 0) + 1
@@ -443,14 +443,14 @@
 def busy() -> RoutingPolicy:
     policy = RoutingPolicy(fleet(proxies=2), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(10)])
-    dense(policy, 0.0, 6000.0, lambda name: policy.chance.expovariate(1 / 20))
+    dense(policy, 0.0, 6000.0, lambda name: policy.random_generator.expovariate(1 / 20))
     return policy
 
 
 def test_single_slow_answers_in_dense_traffic_eject_no_endpoint() -> None:
     """One answer in fifty of a healthy cache takes four times the usual: all were ejected now and then."""
     policy = busy()
-    dense(policy, 6000.0, 20_000.0, lambda name: policy.chance.expovariate(1 / 20))
+    dense(policy, 6000.0, 20_000.0, lambda name: policy.random_generator.expovariate(1 / 20))
     assert not any(cache.ejected for cache in policy.endpoints.caches.values())
 
 
@@ -458,12 +458,20 @@
     """Single quick answers doubled a slow cache's part as often as slow ones halved it."""
     policy = busy()
     slow = "c3"
-    dense(policy, 6000.0, 2000.0, lambda name: policy.chance.expovariate(1 / (80 if name == slow else 20)))
+    dense(
+        policy,
+        6000.0,
+        2000.0,
+        lambda name: policy.random_generator.expovariate(1 / (80 if name == slow else 20)),
+    )
     sends = dense(
-        policy, 8000.0, 8000.0, lambda name: policy.chance.expovariate(1 / (80 if name == slow else 20))
+        policy,
+        8000.0,
+        8000.0,
+        lambda name: policy.random_generator.expovariate(1 / (80 if name == slow else 20)),
     )
     assert sends.get(slow, 0) < 0.01 * sum(sends.values())
-    sends = dense(policy, 16_000.0, 20_000.0, lambda name: policy.chance.expovariate(1 / 20))
+    sends = dense(policy, 16_000.0, 20_000.0, lambda name: policy.random_generator.expovariate(1 / 20))
     assert policy.endpoints.caches[slow].admitted_fraction >= 1.0
     assert sends[slow] > 0.03 * sum(sends.values())
 
@@ -479,7 +487,7 @@
             2000.0 if start < 7000.0 else 8000.0,
             lambda name: None
             if name == "c3"
-            else policy.chance.expovariate(1 / (140 if name in slow else 20)),
+            else policy.random_generator.expovariate(1 / (140 if name in slow else 20)),
         )
     assert sends.get("c3", 0) < 0.01 * sum(sends.values())
 
@@ -490,10 +498,10 @@
     cache = policy.endpoints.caches["c3"]
     policy.latency.fetch_baseline_ms, policy.settings.latency_objective_ms = 60.0, 130.0
     cache.in_flight, cache.last_heard_at, cache.admitted_fraction = 1, 10_000.0, 1.0
-    assert policy.outliers.admits(10_300.0, cache, policy.chance)
+    assert policy.outliers.admits(10_300.0, cache, policy.random_generator)
     assert not cache.ejected
     cache.in_flight = 5
-    policy.outliers.admits(10_300.0, cache, policy.chance)
+    policy.outliers.admits(10_300.0, cache, policy.random_generator)
     assert cache.ejected
 
 
@@ -559,7 +567,7 @@
         request = rpc_for("read", tick % 60, now, now + 900.0, "a")
         decision = send(policy, now, request)
         if isinstance(decision, Forward):
-            going.append((now + 60.0 + policy.chance.expovariate(1 / 60), request))
+            going.append((now + 60.0 + policy.random_generator.expovariate(1 / 60), request))
         exhausted += isinstance(decision, Reject) and now > 7000.0
         policy.next_wakeup(now)
     assert exhausted < 40
@@ -599,13 +607,13 @@
     policy, served, asked = busy(), 0, 0
     for now in range(6000, 26_000, 4):
         request, ends, good = (
-            rpc_for("read", policy.chance.randrange(60), now, now + 400.0),
+            rpc_for("read", policy.random_generator.randrange(60), now, now + 400.0),
             float(now),
             False,
         )
         decision = send(policy, now, request)
         while decision and isinstance(decision, Forward):
-            failed = decision.endpoint in ("c1", "c3", "c5", "c7") and policy.chance.random() < 0.5
+            failed = decision.endpoint in ("c1", "c3", "c5", "c7") and policy.random_generator.random() < 0.5
             request.attempts[-1].outcome = "error" if failed else "completed"
             request.finished = good = not failed
             ends += 15.0
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -171,7 +171,7 @@
     other = Router(fleet(proxies=4), 8, 5.0)
     state_codec.restore_state(other, state)
     assert vars(other.policy).keys() == vars(router.policy).keys()
-    assert other.policy.chance.random() == router.policy.chance.random()
+    assert other.policy.random_generator.random() == router.policy.random_generator.random()
     assert other.policy.endpoints.caches["c1"] is other.policy.placement.usable[0][2]
     assert other.on_endpoint_list == other.policy.on_endpoint_list
     router.policy.later = object()
@@ -204,11 +204,11 @@
     data = record_simulated_fleet()[0]._segments[1]
     file = tmp_path / "n.record"
     file.write_bytes(data)
-    room = RoutingPolicy._has_room
+    room = RoutingPolicy._has_capacity
     calls = iter(range(10_000))
     monkeypatch.setattr(
         RoutingPolicy,
-        "_has_room",
+        "_has_capacity",
         lambda self, now, limit, rpc: next(calls) != 40 and room(self, now, limit, rpc),
     )
     result = CliRunner().invoke(main, ["replay", str(file)])
