--- a/calicofall/routing/timeouts.py
+++ b/calicofall/routing/timeouts.py
@@ -67,7 +67,7 @@
             return remaining_ms
         if self._endpoints.cache(endpoint.name) is None:
             return remaining_ms
-        fetch_baseline_ms = (
+        fetch_timeout_ms = (
             0.0
             if is_cached or look_aside
             else FETCH_TIMEOUT_BASELINES * self._latency.fetch_baseline_ms + baseline_ms
@@ -76,7 +76,7 @@
             READ_TIMEOUT_BASELINES * baseline_ms * self._outliers.fleet_relative_latency
             + self._zone_latency.extra_ms(endpoint)
         )
-        timeout_ms = max(read_timeout_ms, fetch_baseline_ms)
+        timeout_ms = max(read_timeout_ms, fetch_timeout_ms)
         if (
             method.retry_safety == RetrySafety.IDEMPOTENT
             and remaining_ms - timeout_ms >= SECOND_ATTEMPT_BASELINES * baseline_ms
