--- a/calicofall/fleet/outlier_consensus.py
+++ b/calicofall/fleet/outlier_consensus.py
@@ -240,7 +240,7 @@
         self.own_id = own_id
         self.incarnation = incarnation
         self.zone = zone
-        self.chance = rng
+        self.random_generator = rng
         self.listed: frozenset[int] = frozenset()
         self.large_answer_ids: frozenset[int] = frozenset()  # of these, those for large answers
         self.evidence: dict[int, Evidence] = {}
@@ -364,13 +364,13 @@
         }
         out: list[tuple[int, EvidenceMessage]] = []
         if now >= self.next_round_at:
-            self.next_round_at = now + ROUND_INTERVAL_S * self.chance.uniform(0.9, 1.0)
+            self.next_round_at = now + ROUND_INTERVAL_S * self.random_generator.uniform(0.9, 1.0)
             for endpoint in self._open(now, avoided)[:QUERIES_PER_ROUND]:
                 out += self._query(now, endpoint, reachable)
         return out, min([self.next_round_at, *(query.ends_at for query in self.queries.values())])
 
     def _query(self, now: float, endpoint: int, reachable: list[int]) -> list[tuple[int, EvidenceMessage]]:
-        peers = self.chance.sample(reachable, min(PEERS_PER_QUERY, len(reachable)))
+        peers = self.random_generator.sample(reachable, min(PEERS_PER_QUERY, len(reachable)))
         if not peers:
             return []
         self.last_query_id += 1
@@ -393,8 +393,8 @@
                 own.append(endpoint)
             elif asking_peers >= MIN_ASKING_PEERS:
                 others.append(endpoint)
-        self.chance.shuffle(own)
-        self.chance.shuffle(others)
+        self.random_generator.shuffle(own)
+        self.random_generator.shuffle(others)
         return own + others
 
     def _is_queried(self, now: float, endpoint: int) -> bool:
--- a/calicofall/proxy/gossip_transport.py
+++ b/calicofall/proxy/gossip_transport.py
@@ -59,9 +59,13 @@
         self.on_agreement: Callable[[AgreementMessage], None] | None = None
         self.on_quota_lease: Callable[[QuotaLeaseMessage], None] | None = None
         self.on_evidence: Callable[[EvidenceMessage | KeyCountMessage], None] | None = None
-        self.list_freshness = ListFreshness(contention.me, incarnation, contention.proxies, contention.chance)
+        self.list_freshness = ListFreshness(
+            contention.me, incarnation, contention.proxies, contention.random_generator
+        )
         members = frozenset(range(contention.proxies))
-        self.membership = Membership(contention.me, incarnation, members, loop.time(), contention.chance)
+        self.membership = Membership(
+            contention.me, incarnation, members, loop.time(), contention.random_generator
+        )
         # Asks the service for the endpoint list once more; takes the part of peers that are behind, too.
         self.reopen_watch: Callable[[float], None] = lambda part: None
         self.list_timer: asyncio.TimerHandle | None = None
--- a/calicofall/proxy/server.py
+++ b/calicofall/proxy/server.py
@@ -124,21 +124,21 @@
         self.process_lock: ProcessLock | None = None
         me, proxies = deployment.get("me") or 0, deployment.get("proxies") or 1
         # Random draws of its own: the router's are for its decisions alone.
-        chance, room_told = Random(seed + 1), self.startup.get("watches")
+        random_generator, room_told = Random(seed + 1), self.startup.get("watches")
         # Names this incarnation: an answer to a former one is not for us.
-        life = chance.getrandbits(48) if "speak" in self.startup else 0
+        incarnation = random_generator.getrandbits(48) if "speak" in self.startup else 0
 
         def turns(name: str) -> RateSlots:
             lease = self.startup.get("lease", 0.0)
             return RateSlots(
                 peer_messages.name_digest(name),
                 me,
-                life,
+                incarnation,
                 proxies,
                 loop.time(),
                 lease,
                 MAX_CLOCK_DRIFT,
-                chance,
+                random_generator,
             )
 
         self.connection_quotas = ConnectionQuotas(
@@ -218,7 +218,7 @@
                 known, learned = held
         grid = TimeSlots(me, proxies, room_told, loop.time(), wall) if room_told else None
         line = DiscoverySchedule(
-            chance, proxies, (deployment["rules"].get("ask_every") or 10_000.0) / 2000.0, grid
+            random_generator, proxies, (deployment["rules"].get("ask_every") or 10_000.0) / 2000.0, grid
         )
         self.discovery = Discovery(
             loop,
@@ -234,9 +234,9 @@
         if "speak" in self.startup:
             self.gossip = GossipTransport(
                 loop,
-                ContentionEstimate(me, proxies, room_told, chance),
+                ContentionEstimate(me, proxies, room_told, random_generator),
                 self.startup["fleet"],
-                life,
+                incarnation,
                 self.startup["peers"],
                 lambda: self.discovery.is_live,
             )
@@ -245,7 +245,7 @@
         self.quotas: QuotaEnforcement | None = None
         hold = self.startup.get("flight", 0.0)
         if hold:
-            self.upstreams.in_flight_quota = InFlightQuota(hold / proxies, chance)
+            self.upstreams.in_flight_quota = InFlightQuota(hold / proxies, random_generator)
         if "lease" in self.startup:
             lent = (
                 {HANDSHAKE_SLOTS: (self.connection_quotas.turns, self.connection_quotas.wanted)}
@@ -257,10 +257,10 @@
             self.quotas = QuotaEnforcement(
                 loop,
                 me,
-                life,
+                incarnation,
                 proxies,
                 self.startup["lease"],
-                chance,
+                random_generator,
                 self.startup.get("bears"),
                 deployment["rules"],
                 lambda: len(self.upstreams.endpoint_names),
@@ -279,15 +279,15 @@
             self.outliers = OutlierReports(
                 loop,
                 me,
-                life,
+                incarnation,
                 settings.get("zone") or "",
-                chance,
+                random_generator,
                 self.router,
                 lambda: self.upstreams.endpoint_names,
                 self.gossip.send,
                 self.gossip.membership.there,
                 self.now_ms,
-                bears and HotKeyDetector(me, life, proxies, bears, loop.time(), chance),
+                bears and HotKeyDetector(me, incarnation, proxies, bears, loop.time(), random_generator),
             )
             self.gossip.on_evidence = self.outliers.on_message
         self.apply_pins(settings, deployment)
@@ -314,7 +314,7 @@
                 self.gossip.incarnation,
                 own,
                 document,
-                chance,
+                random_generator,
                 self.gossip.send,
                 self.apply_settings,
                 self.gossip.membership.belong,
--- a/calicofall/recording/state_schema.py
+++ b/calicofall/recording/state_schema.py
@@ -61,7 +61,7 @@
 POLICY_FIELDS: Fields = {
     "rules": "settings.rules",
     "caps": "settings.caps",
-    "chance": "chance",
+    "chance": "random_generator",
     "methods": "settings.methods",
     "soonest": "settings.latency_objective_ms",
     "proxies": "deployment.proxies",
--- a/calicofall/routing/concurrency_limit.py
+++ b/calicofall/routing/concurrency_limit.py
@@ -91,10 +91,10 @@
         """Whether a request may start now: its turn has come, and there is capacity for it."""
         return now >= self.turn and self.request_capacity(now, fraction)
 
-    def start_from(self, value: float, chance: Random) -> None:
+    def start_from(self, value: float, random_generator: Random) -> None:
         """Begins from an estimated limit, with its burst unused; one below 1 has a random part of it."""
         self.value = value
-        self.spare = value * MEAN_SPAN_MS * (1.0 if value >= 1 else chance.random())
+        self.spare = value * MEAN_SPAN_MS * (1.0 if value >= 1 else random_generator.random())
 
     def update(self, now: float) -> None:
         """Shrinks the limit where latencies are too long, lets it grow where requests found no room."""
--- a/calicofall/routing/gossip_exchange.py
+++ b/calicofall/routing/gossip_exchange.py
@@ -43,15 +43,15 @@
             total, count = self.pending.get(endpoint.gossip_id, (0.0, 0))
             self.pending[endpoint.gossip_id] = total + wait_ms, count + 1
 
-    def tell_if_due(self, now: float, chance: Random) -> None:
+    def tell_if_due(self, now: float, random_generator: Random) -> None:
         """Tells a few peers, drawn anew: together they hear of every endpoint, and none hears all."""
         if not (self.peers and self.pending and now >= self.tell_at):
             return
-        self.tell_at = now + self.interval_ms * chance.uniform(0.7, 1.3)
+        self.tell_at = now + self.interval_ms * random_generator.uniform(0.7, 1.3)
         waits = [(mark, total / count) for mark, (total, count) in self.pending.items()]
         message = encode_hint(int(self.arrivals.count(now)), waits)
         self.pending = {}
-        for peer in [chance.randrange(self.peers) for _ in range(min(FANOUT, self.peers))]:
+        for peer in [random_generator.randrange(self.peers) for _ in range(min(FANOUT, self.peers))]:
             self._outbox.add(SendGossip(peer + (peer >= self.me), message))
 
     def receive(self, now: float, peer: int, message: bytes) -> list[tuple[int, float]]:
--- a/calicofall/routing/limits.py
+++ b/calicofall/routing/limits.py
@@ -50,13 +50,13 @@
         self.fleet.floor = FLEET_FLOOR * share
         self.full_origin_floor = floor
 
-    def start(self, count: int, chance: Random) -> None:
+    def start(self, count: int, random_generator: Random) -> None:
         """Begins from so many endpoints, before anything was measured."""
         share = self._share(count)
         # Without this bound, all proxies' first fetches together would overload the origin behind the caches.
         bound = ORIGIN_START * share if self._deployment.look_aside else max(share, FIRST_FETCHES)
-        self.fleet.start_from(FLEET_START * share, chance)
-        self.origin.start_from(min(ORIGIN_START * share, bound), chance)
+        self.fleet.start_from(FLEET_START * share, random_generator)
+        self.origin.start_from(min(ORIGIN_START * share, bound), random_generator)
 
     def _share(self, count: int) -> float:
         return max(1, count) / self._deployment.proxies
--- a/calicofall/routing/list_polling.py
+++ b/calicofall/routing/list_polling.py
@@ -19,12 +19,12 @@
         self.backoff_ms = FIRST_BACKOFF_MS
         self._outbox = outbox
 
-    def on_failure(self, now: float, chance: Random) -> None:
+    def on_failure(self, now: float, random_generator: Random) -> None:
         """A list did not come: it is asked for again after a random pause."""
         if self.backoff_ms == FIRST_BACKOFF_MS:
             self._outbox.log("list call failed: asked again after a random pause")
         # Without a random pause all proxies would ask again in step and fill the list's service once more.
-        self.poll_at = now + self.backoff_ms * chance.uniform(0.5, 1.5)
+        self.poll_at = now + self.backoff_ms * random_generator.uniform(0.5, 1.5)
         self.backoff_ms = min(self.backoff_ms * 2, MAX_BACKOFF_MS)
 
     def on_list(self, cached: bool) -> None:
--- a/calicofall/routing/outlier_detection.py
+++ b/calicofall/routing/outlier_detection.py
@@ -115,7 +115,7 @@
         """A former life of this proxy sent it this fraction of what it owns."""
         endpoint.degrade(now, fraction, EJECTED_FRACTION)
 
-    def admits(self, now: float, endpoint: Endpoint, chance: Random) -> bool:
+    def admits(self, now: float, endpoint: Endpoint, random_generator: Random) -> bool:
         """Whether an endpoint is sent what it owns: by chance, where something speaks against it."""
         # An endpoint that keeps what it gets and says nothing is found long before time-outs tell.
         waiting = endpoint.held
@@ -127,7 +127,7 @@
         fraction = endpoint.trickle(now)
         if endpoint.admitted_fraction < 1.0 <= fraction:
             endpoint.reinstate()
-        return fraction >= 1.0 or chance.random() < fraction
+        return fraction >= 1.0 or random_generator.random() < fraction
 
     def on_latency(
         self, now: float, endpoint: Endpoint, relative: float, sent_at: float, impatient: bool = False
--- a/calicofall/routing/policy.py
+++ b/calicofall/routing/policy.py
@@ -68,7 +68,7 @@
             seed: Of all its random draws.
             now: The present (ms).
         """
-        self.chance = Random(seed)
+        self.random_generator = Random(seed)
         known = self._make_knowledge(now, deployment)
         self._make_judgement(now, deployment, known)
         self.update_at = now
@@ -112,9 +112,9 @@
         """The parts that judge by what is known."""
         settings, fleet = self.settings, self.deployment
         self.limits = Limits(now, settings, fleet, self.latency)
-        self.retries = RetryPolicy(settings, self.latency, fleet.proxies, self.chance)
+        self.retries = RetryPolicy(settings, self.latency, fleet.proxies, self.random_generator)
         rates = shares_of(deployment.get("tenants"), fleet.proxies)
-        self.quotas = TenantQuotas(now, rates, fleet, self.chance)
+        self.quotas = TenantQuotas(now, rates, fleet, self.random_generator)
         self.slow_start = SlowStart(now, deployment.get("bears") or 0.0, known)
         self.origin_protection = OriginProtection(known, self.limits)
         self.outliers = OutlierDetector(known, self.slow_start)
@@ -167,7 +167,7 @@
         if is_heavy or not has_room:
             endpoint = self.origin_protection.spare_origin(now, request)
         if endpoint is None and has_room:
-            endpoint = self.selector.select(now, request, self.chance)
+            endpoint = self.selector.select(now, request, self.random_generator)
         if endpoint is None:  # where there is room, waiting would not change what was tried
             if has_room:
                 return self._give_up(request, method)
@@ -226,7 +226,7 @@
         return Wait(WAIT_MS)
 
     def _give_up(self, request: Request, method: MethodSettings) -> Reject | Fail:
-        return self.retries.give_up(request, method, self.chance)
+        return self.retries.give_up(request, method, self.random_generator)
 
     # Outcomes
 
@@ -301,7 +301,7 @@
         if outcome in UNPAID_OUTCOMES:
             return self.decide(now, request)
         left = self.timeouts.left_ms(now, request, method)
-        if self.retries.may_retry(now, request, outcome, left, self.chance):
+        if self.retries.may_retry(now, request, outcome, left, self.random_generator):
             return self.decide(now, request)
         return self._give_up(request, method)
 
@@ -335,7 +335,7 @@
         """
         del version
         if kind == "failed":
-            self.polling.on_failure(now, self.chance)
+            self.polling.on_failure(now, self.random_generator)
             return
         self.polling.on_list(kind == "cached")
         is_first = not self.endpoints.caches
@@ -344,7 +344,7 @@
         count = len(self.placement.usable)
         self.limits.on_endpoint_count(count)
         if is_first:
-            self.limits.start(count, self.chance)
+            self.limits.start(count, self.random_generator)
 
     def on_gossip(self, now: float, peer: int, message: bytes) -> None:
         """A hint from a peer: it may be late, lost, doubled or mangled, and names no endpoint for us."""
@@ -375,7 +375,7 @@
         if now >= self.update_at:
             self._update(now)
             self.update_at = now + UPDATE_INTERVAL_MS
-        self.gossip.tell_if_due(now, self.chance)
+        self.gossip.tell_if_due(now, self.random_generator)
         return max(1.0, self.polling.wait_ms(now)), self.outbox.drain()
 
     def _update(self, now: float) -> None:
--- a/calicofall/routing/retry_policy.py
+++ b/calicofall/routing/retry_policy.py
@@ -73,13 +73,13 @@
     """The retry budget, the allowance of retries, and groups of requests that fail everywhere."""
 
     def __init__(
-        self, settings: RoutingSettings, latency: LatencyBaselines, proxies: int, chance: Random
+        self, settings: RoutingSettings, latency: LatencyBaselines, proxies: int, random_generator: Random
     ) -> None:
         """Begins with a random part of the allowance, so that proxies of one start do not act in step."""
         self._settings = settings
         self._latency = latency
         self.max_allowance = max(1.0, FLEET_ALLOWANCE / proxies)
-        self.allowance = self.max_allowance * chance.random()
+        self.allowance = self.max_allowance * random_generator.random()
         self.budget = RetryBudget(settings.rules)
         # By group, requests that failed again when sent again.
         self.failing_groups: dict[RequestGroup, SlidingWindow] = {}
@@ -127,7 +127,7 @@
         return is_repeat_safe(now, method, request.first_possibly_run())
 
     def may_retry(
-        self, now: float, request: Request, outcome: AttemptOutcome, left_ms: float, chance: Random
+        self, now: float, request: Request, outcome: AttemptOutcome, left_ms: float, random_generator: Random
     ) -> bool:
         """Whether a request whose attempt failed is to be sent again, and pays for it.
 
@@ -138,7 +138,7 @@
         hopeless = outcome == AttemptOutcome.ERROR and self.fails_everywhere(
             now, request, now - request.attempts[-1].sent_at
         )
-        if hopeless and chance.random() >= TRIAL_PROBABILITY:
+        if hopeless and random_generator.random() >= TRIAL_PROBABILITY:
             return False
         fine = (self.budget.told or self.allowance >= 1) and left_ms >= (usual or 0.0)
         if fine:  # what failed soon costs less
@@ -157,7 +157,7 @@
                 return True
         return False
 
-    def give_up(self, request: Request, method: MethodSettings, chance: Random) -> Reject | Fail:
+    def give_up(self, request: Request, method: MethodSettings, random_generator: Random) -> Reject | Fail:
         """Rejects a request where a repeat by its client is harmless, and fails it where it might not be."""
         repeats = method.retry_safety
         if (
@@ -165,7 +165,7 @@
             or request.first_possibly_run() is None
             or (repeats == RetrySafety.IDEMPOTENCY_KEY and method.group == "all")
         ):
-            return Reject(self._settings.max_retry_after_ms * chance.uniform(0.3, 0.6))
+            return Reject(self._settings.max_retry_after_ms * random_generator.uniform(0.3, 0.6))
         return Fail()
 
     def forget(self, now: float) -> None:
--- a/calicofall/routing/selection.py
+++ b/calicofall/routing/selection.py
@@ -46,27 +46,27 @@
         self._zone_latency = knowledge.zone_latency
         self._gossip = knowledge.gossip
 
-    def select(self, now: float, request: Request, chance: Random) -> Endpoint | None:
+    def select(self, now: float, request: Request, random_generator: Random) -> Endpoint | None:
         """The endpoint that a request goes to now; None where none of its key's endpoints takes it."""
         # A request without a key has no owner: it draws one, so that load still follows the weights.
-        key = request.key if request.key is not None else chance.getrandbits(KEY_BITS)
-        candidates = self._candidates(now, request, key, chance)
+        key = request.key if request.key is not None else random_generator.getrandbits(KEY_BITS)
+        candidates = self._candidates(now, request, key, random_generator)
         if not candidates:
             return self._origin_protection.spare_origin(now, request)
-        admitted = [one for one in candidates if self._outliers.admits(now, one, chance)]
+        admitted = [one for one in candidates if self._outliers.admits(now, one, random_generator)]
         if not admitted:
             # Without the origin's help, a key's one warm endpoint would get requests without end, of which
             # most time out.
             if self._traffic.low:
                 return self._origin_protection.spare_origin(now, request)
             return max(candidates, key=lambda one: one.admitted_fraction)
-        admitted = self._without_far(admitted, chance)
+        admitted = self._without_far(admitted, random_generator)
         # A neighbour that lacks the key has to fetch it: spills would fill a busy origin.
         busy = not request.attempts and self._origin_protection.is_busy(now)
         self._prefer_own_zone(admitted, key)
-        return self._least_crowded(now, request, key, admitted, busy, chance)
+        return self._least_crowded(now, request, key, admitted, busy, random_generator)
 
-    def _candidates(self, now: float, request: Request, key: int, chance: Random) -> list[Endpoint]:
+    def _candidates(self, now: float, request: Request, key: int, random_generator: Random) -> list[Endpoint]:
         """The key's endpoints that may be sent the request, best first."""
         attempts = request.attempts
         tried = {
@@ -78,7 +78,7 @@
         candidates = [
             one
             for one in self._placement.ranking(key, place)
-            if one.name not in tried and self._is_allowed(now, request, one, chance)
+            if one.name not in tried and self._is_allowed(now, request, one, random_generator)
         ]
         # After a fall of its limit, spills that have to be fetched would fill the jammed origin.
         is_spill = self._deployment.look_aside and attempts and not self._traffic.low
@@ -86,7 +86,7 @@
             return [one for one in candidates if self._cached_keys.holds(one.name, key)]
         return candidates
 
-    def _is_allowed(self, now: float, request: Request, endpoint: Endpoint, chance: Random) -> bool:
+    def _is_allowed(self, now: float, request: Request, endpoint: Endpoint, random_generator: Random) -> bool:
         """Whether a repeat is dropped there where it has to be, and a warm-up leaves room for it."""
         first = request.first_possibly_run() if request.attempts else None
         if first is not None:
@@ -97,7 +97,7 @@
                 return False
         if not self._slow_start.is_warming_up(now, endpoint):
             return True
-        return self._slow_start.admits(now, request.key, endpoint, chance)
+        return self._slow_start.admits(now, request.key, endpoint, random_generator)
 
     @staticmethod
     def _shares_repeats(first: Endpoint | None, endpoint: Endpoint, group: str | None) -> bool:
@@ -110,11 +110,11 @@
             return first.zone == endpoint.zone
         return group != "cell" or first.cell == endpoint.cell
 
-    def _without_far(self, endpoints: list[Endpoint], chance: Random) -> list[Endpoint]:
+    def _without_far(self, endpoints: list[Endpoint], random_generator: Random) -> list[Endpoint]:
         """Those to which the way is not slow, which is no endpoint's fault; sometimes all, as a trial."""
         far = FAR * self._settings.latency_objective_ms
         near = [one for one in endpoints if self._zone_latency.extra_ms(one) < far]
-        if 0 < len(near) < len(endpoints) and chance.random() > TRIAL_PROBABILITY:
+        if 0 < len(near) < len(endpoints) and random_generator.random() > TRIAL_PROBABILITY:
             return near
         return endpoints
 
@@ -132,17 +132,17 @@
         key: int,
         endpoints: list[Endpoint],
         busy: bool,
-        chance: Random,
+        random_generator: Random,
     ) -> Endpoint:
         """The first that is not crowded, of those that hold the key before the others."""
         owner, *others = endpoints
-        if not self._is_crowded(now, owner, busy, chance):
+        if not self._is_crowded(now, owner, busy, random_generator):
             return owner
         look_aside = self._deployment.look_aside
         holds = self._cached_keys.holds
         others.sort(key=lambda one: not holds(one.name, key))  # a spill needs no fetch where the key is held
         for one in others:
-            if self._is_crowded(now, one, busy, chance):
+            if self._is_crowded(now, one, busy, random_generator):
                 continue
             if look_aside or not busy or holds(one.name, key):
                 return one
@@ -154,12 +154,12 @@
             key=lambda one: (one.held, one.mean_wait_ms(now), one.sent.count(now) / weights[one.name]),
         )
 
-    def _is_crowded(self, now: float, endpoint: Endpoint, busy: bool, chance: Random) -> bool:
+    def _is_crowded(self, now: float, endpoint: Endpoint, busy: bool, random_generator: Random) -> bool:
         """Whether it is over its spill threshold: in flight, in waits, or in what it was lately sent."""
         if self._gossip.peers:
             wait = endpoint.mean_wait_ms(now)
             most = LONG_WAIT * self._settings.latency_objective_ms
-            if wait > most and chance.random() * wait > most:
+            if wait > most and random_generator.random() * wait > most:
                 return True
         if endpoint.held >= SPILL_REQUESTS or busy or not self._traffic.low:
             return endpoint.held >= SPILL_REQUESTS
--- a/calicofall/routing/slow_start.py
+++ b/calicofall/routing/slow_start.py
@@ -94,7 +94,7 @@
             rate = self.completed.count(now) / self.warm_weight_lately / CARRIED_SPAN_MS
             self.carried = max(rate, self.carried * FORGET)
 
-    def admits(self, now: float, key: int | None, endpoint: Endpoint, chance: Random) -> bool:
+    def admits(self, now: float, key: int | None, endpoint: Endpoint, random_generator: Random) -> bool:
         """Whether a request may go to an endpoint that warms up: by chance, up to what the rule allows.
 
         The ramp of weights alone does not keep the rule where most of the fleet warms up, for spills, for
@@ -111,7 +111,7 @@
         )
         wanted = self._wanted_rate(now, key, endpoint)
         admitted = LOW_TRAFFIC_ADMITTED_PART if self._traffic.low else ADMITTED_PART
-        return chance.random() * wanted < admitted * part * rate / settings.process_count
+        return random_generator.random() * wanted < admitted * part * rate / settings.process_count
 
     def _wanted_rate(self, now: float, key: int | None, endpoint: Endpoint) -> float:
         """Requests a ms that would go there: by its weight, by the key, by what came; the most of them."""
--- a/calicofall/routing/tenant_quota.py
+++ b/calicofall/routing/tenant_quota.py
@@ -24,11 +24,15 @@
 class TenantQuotas:
     """Token buckets by tenant."""
 
-    def __init__(self, now: float, rates: dict[str, float], deployment: Deployment, chance: Random) -> None:
+    def __init__(
+        self, now: float, rates: dict[str, float], deployment: Deployment, random_generator: Random
+    ) -> None:
         """Buckets that are filled by chance, so that proxies that start together do not act in step."""
         self._deployment = deployment
         self.rates = rates  # requests a ms, by tenant
-        self.buckets = {name: [self._burst() * chance.random(), now] for name in rates}  # tokens, filled at
+        self.buckets = {
+            name: [self._burst() * random_generator.random(), now] for name in rates
+        }  # tokens, filled at
         self.scale = 1.0  # how much more than an even part of the clients' requests comes here
 
     def _burst(self) -> float:
--- a/calicofall/startup/contention.py
+++ b/calicofall/startup/contention.py
@@ -34,7 +34,7 @@
     def __init__(self, number: int, proxies: int, rate: float, random: Random) -> None:
         self.me = number
         self.proxies = proxies
-        self.chance = random
+        self.random_generator = random
         self._sample_size = sample_size(proxies, rate)
         self.mark = 0  # identifies the current sample
         self.until = 0.0  # when the current sample ends, in seconds
@@ -44,9 +44,9 @@
 
     def ask(self, now: float) -> tuple[int, list[int]]:
         """Begins a sample and returns its identifier and the numbers of the peers to ask."""
-        drawn = self.chance.sample(range(self.proxies - 1), self._sample_size)
+        drawn = self.random_generator.sample(range(self.proxies - 1), self._sample_size)
         peers = [number + (number >= self.me) for number in drawn]
-        self.mark = self.chance.getrandbits(48)
+        self.mark = self.random_generator.getrandbits(48)
         self.until = now + ANSWER_TIMEOUT_S
         self._unanswered = set(peers)
         self._served = 0
--- a/calicofall/testbed/agreement_simulation.py
+++ b/calicofall/testbed/agreement_simulation.py
@@ -111,24 +111,31 @@
     def begin(self, node: SimulatedNode) -> None:
         """Starts a proxy, or restarts it."""
         super().begin(node)
-        self.at(self.now + self.chance.uniform(0.0, FIRST_POLL_WITHIN_S), self.poll, node, node.life)
+        self.at(
+            self.now + self.random_generator.uniform(0.0, FIRST_POLL_WITHIN_S),
+            self.poll,
+            node,
+            node.incarnation,
+        )
 
-    def build(self, node: SimulatedNode, life: int, chance: Random) -> ConfigurationAgreement:
+    def build(
+        self, node: SimulatedNode, incarnation: int, random_generator: Random
+    ) -> ConfigurationAgreement:
         """Makes the instance of an incarnation."""
-        return self.make(node.me, life, node.clock(self.now), LEASE_S, DRIFT, chance)
+        return self.make(node.me, incarnation, node.clock(self.now), LEASE_S, DRIFT, random_generator)
 
-    def poll(self, node: SimulatedNode, life: int) -> None:
+    def poll(self, node: SimulatedNode, incarnation: int) -> None:
         """Hands a proxy what is new at the source, if it reaches it, and polls again later."""
-        if not self.alive(node, life, self.poll, node, life):
+        if not self.alive(node, incarnation, self.poll, node, incarnation):
             return
         if self.source_up and not (self.cuts[node.me, SOURCE] or self.cuts[SOURCE, node.me]):
             agreement = agreement_of(node)
             latest = agreement.highest_held or self.source - 1  # without any, the latest is enough
-            if self.chance.random() < LATEST_ONLY_PROBABILITY:
+            if self.random_generator.random() < LATEST_ONLY_PROBABILITY:
                 latest = max(latest, self.source - 1)  # as a watch does that broke off and begins anew
             for version in range(latest + 1, self.source + 1):
                 agreement.heard(node.clock(self.now), self.documents[version])
-        self.at(self.now + POLL_INTERVAL_S, self.poll, node, life)
+        self.at(self.now + POLL_INTERVAL_S, self.poll, node, incarnation)
 
     def deliver(self, node: SimulatedNode, message: AgreementMessage) -> None:
         """Hands a message to a proxy, and sends what it responds."""
@@ -223,7 +230,7 @@
 
     def __init__(self, simulation: AgreementSimulation) -> None:
         self.simulation = simulation
-        self.chance = simulation.chance
+        self.random_generator = simulation.random_generator
         self.members = range(len(simulation.fleet))
         # What is drawn is an index of this table, so that its order belongs to what a seed means.
         self.steps: tuple[Callable[[int, float], None], ...] = (
@@ -240,10 +247,10 @@
 
     def step(self) -> None:
         """Lets some time pass, then injects one fault or publishes."""
-        self.simulation.run(self.simulation.now + self.chance.uniform(0.1, 1.5))
-        step = self.steps[self.chance.randrange(len(self.steps))]
-        member = self.chance.randrange(len(self.members))
-        span = self.chance.choice([0.5, 2.0, 5.0, 9.0])
+        self.simulation.run(self.simulation.now + self.random_generator.uniform(0.1, 1.5))
+        step = self.steps[self.random_generator.randrange(len(self.steps))]
+        member = self.random_generator.randrange(len(self.members))
+        span = self.random_generator.choice([0.5, 2.0, 5.0, 9.0])
         step(member, span)
 
     def _publish(self, member: int, span: float) -> None:
@@ -256,35 +263,37 @@
         self.simulation.restart(member)
 
     def _isolate(self, member: int, span: float) -> None:
-        self.simulation.isolate(member, self.chance.choice(["in", "out", "both"]), span)
+        self.simulation.isolate(member, self.random_generator.choice(["in", "out", "both"]), span)
 
     def _split(self, member: int, span: float) -> None:
         count = len(self.members)
-        self.simulation.split(set(self.chance.sample(self.members, self.chance.randint(1, count - 1))), span)
+        self.simulation.split(
+            set(self.random_generator.sample(self.members, self.random_generator.randint(1, count - 1))), span
+        )
 
     def _toggle_source(self, member: int, span: float) -> None:
         """The source goes down, or comes back, perhaps with an older version."""
         self.simulation.source_up = not self.simulation.source_up
-        if self.chance.random() < 0.5:
-            self.simulation.source = self.chance.randint(1, self.simulation.source)
+        if self.random_generator.random() < 0.5:
+            self.simulation.source = self.random_generator.randint(1, self.simulation.source)
 
     def _stop_many(self, member: int, span: float) -> None:
         for other in self.members:
-            if self.chance.random() < 1 / 3:
+            if self.random_generator.random() < 1 / 3:
                 self.simulation.stop(other, span)
 
     def _publish_and_restart_many(self, member: int, span: float) -> None:
         """Proxies forget a version while it is being agreed on; the source may go back to the one before."""
         self.simulation.publish()
-        self.simulation.run(self.simulation.now + self.chance.uniform(0.0, 1.5))
-        self.simulation.source -= self.chance.random() < 0.5
+        self.simulation.run(self.simulation.now + self.random_generator.uniform(0.0, 1.5))
+        self.simulation.source -= self.random_generator.random() < 0.5
         for other in self.members:
-            if self.chance.random() < 1 / 2:
+            if self.random_generator.random() < 1 / 2:
                 self.simulation.restart(other)
 
     def _change_voter(self, member: int, span: float) -> None:
         """Publishes a version with one voter more or fewer."""
-        if len(self.members) > MIN_VOTERS and self.chance.random() < 0.3:
+        if len(self.members) > MIN_VOTERS and self.random_generator.random() < 0.3:
             voters = self.simulation.documents[max(self.simulation.documents)].voters
             changed = voters ^ {member}
             self.simulation.publish(voters=changed if len(changed) >= MIN_VOTERS else voters)
--- a/calicofall/testbed/checker.py
+++ b/calicofall/testbed/checker.py
@@ -69,8 +69,8 @@
 
 
 class HistoryChecker:
-    def __init__(self, drill: Scenario, records: History) -> None:
-        self.drill, self.records = drill, records
+    def __init__(self, scenario: Scenario, records: History) -> None:
+        self.scenario, self.records = scenario, records
         self.findings: list[Finding] = []
         self.figures: dict[str, Any] = {}
         # Up to that, SLACK has room for it.
@@ -82,11 +82,11 @@
         # By proxy: spans in which it could not act, for it was dead or stopped.
         self.away: dict[str, list[tuple[float, float]]] = defaultdict(list)
         since: dict[str, float] = {}
-        for life in sorted(records.lives):
-            if life.what in ("killed", "stopped", "termed", "exited"):
-                since.setdefault(life.proxy, life.at)
-            elif life.what in ("woken", "launched") and life.proxy in since:
-                self.away[life.proxy].append((since.pop(life.proxy), life.at))
+        for process_event in sorted(records.process_events):
+            if process_event.what in ("killed", "stopped", "termed", "exited"):
+                since.setdefault(process_event.proxy, process_event.at)
+            elif process_event.what in ("woken", "launched") and process_event.proxy in since:
+                self.away[process_event.proxy].append((since.pop(process_event.proxy), process_event.at))
         for proxy, at in since.items():
             self.away[proxy].append((at, float("inf")))
 
@@ -139,7 +139,7 @@
             void = f"the stage was late by {self.lag:.2f} s"
         elif self.waited > WAITED:
             void = f"a proxy waited {self.waited:.2f} s of a second for a core"
-        elif not self.records.answers and not self.drill.must.served:
+        elif not self.records.answers and not self.scenario.must.served:
             void = "no answer was judged"
         return Verdict(
             not self.findings and not void, void, sorted(self.findings, key=lambda f: f.at), self.figures
@@ -218,7 +218,11 @@
         states: dict[str, dict[str, tuple[float, bool]]] = defaultdict(dict)
         steps: list[tuple[float, int, Any]] = [(told.at, 0, told) for told in self.records.told]
         steps += [(send.at, 1, send) for send in self.records.sends]
-        steps += [(life.at, -1, life) for life in self.records.lives if life.what == "launched"]
+        steps += [
+            (process_event.at, -1, process_event)
+            for process_event in self.records.process_events
+            if process_event.what == "launched"
+        ]
         latest = 0.0
         for at, kind, what in sorted(steps, key=lambda step: step[:2]):
             known = states[what.proxy]
@@ -234,7 +238,7 @@
                     if name not in known or known[name][1] != off:
                         known[name] = at, off
             elif what.cache not in known:
-                if known and not self.drill.fleet.snapshot:
+                if known and not self.scenario.fleet.snapshot:
                     self.say("drains", what.proxy, at, f"sent to {what.cache}, which no list has named")
             elif known[what.cache][1]:
                 over = at - known[what.cache][0]
@@ -251,10 +255,10 @@
             for name, state in told.entries:
                 if state == "DRAINING":
                     first[name].setdefault(told.proxy, told.at)
-        longest, bound = 0.0, self.drill.must.told_all_s
+        longest, bound = 0.0, self.scenario.must.told_all_s
         for name, times in first.items():
             begin = min(times.values())
-            for proxy in (f"p{i}" for i in range(self.drill.fleet.proxies)):
+            for proxy in (f"p{i}" for i in range(self.scenario.fleet.proxies)):
                 at = times.get(proxy, float("inf"))
                 if at < float("inf"):
                     longest = max(longest, at - begin)
@@ -265,7 +269,7 @@
 
     def cold(self) -> None:
         """Cold caches are not pushed over by all proxies together: from sends, by the stated capacity."""
-        cache = self.drill.cache
+        cache = self.scenario.cache
         sends: dict[str, list[float]] = defaultdict(list)
         for send in self.records.sends:
             sends[send.cache].append(send.at)
@@ -288,21 +292,25 @@
     # The bounds
 
     def service(self) -> None:
-        must, fleet = self.drill.must, self.drill.fleet
+        must, fleet = self.scenario.must, self.scenario.fleet
         asks = [ask.at for ask in self.records.asked if ask.what == "asked"]
         peak, when = most_in_span(asks)
-        lives: dict[str, list[float]] = defaultdict(list)
-        for life in self.records.lives:
-            if life.what == "launched":
-                lives[life.proxy].append(life.at)
-        launches = sorted(at for times in lives.values() for at in times)
+        launch_times: dict[str, list[float]] = defaultdict(list)
+        for process_event in self.records.process_events:
+            if process_event.what == "launched":
+                launch_times[process_event.proxy].append(process_event.at)
+        launches = sorted(at for times in launch_times.values() for at in times)
         heard: dict[str, float] = {}
         lists: dict[tuple[str, int], float] = {}  # by proxy and life, when it was first told a list
         for told in self.records.told:
             heard.setdefault(told.proxy, told.at)
-            lists.setdefault((told.proxy, bisect_right(lives[told.proxy], told.at)), told.at)
-        waits = sorted(at - lives[proxy][life - 1] for (proxy, life), at in lists.items() if life)
-        begins, room = self.records.began, self.drill.service.room
+            lists.setdefault((told.proxy, bisect_right(launch_times[told.proxy], told.at)), told.at)
+        waits = sorted(
+            at - launch_times[proxy][incarnation - 1]
+            for (proxy, incarnation), at in lists.items()
+            if incarnation
+        )
+        begins, room = self.records.began, self.scenario.service.room
         last = max(heard.values(), default=begins)
         self.figures |= {
             "asked": len(asks),
@@ -328,8 +336,12 @@
         doors: dict[str, float] = {}
         for at, proxy in self.records.pongs:
             doors.setdefault(proxy, at)
-            life = proxy, bisect_right(lives[proxy], at)
-            if must.list_before_door and not fleet.snapshot and lists.get(life, float("inf")) > at + CROSS:
+            incarnation = proxy, bisect_right(launch_times[proxy], at)
+            if (
+                must.list_before_door
+                and not fleet.snapshot
+                and lists.get(incarnation, float("inf")) > at + CROSS
+            ):
                 self.say("door", proxy, at, "said yes before it was told a list")
         times = sorted(at - begins for at in doors.values())
         for name, part in (("half", 0.5), ("95", 0.95), ("all", 1.0)):
@@ -341,7 +353,7 @@
                     self.say("door", proxy, begins + must.serves_all_s, "does not say yes yet")
 
     def shares(self) -> None:
-        must = self.drill.must
+        must = self.scenario.must
         begun: dict[str, list[float]] = defaultdict(list)
         ended: dict[str, list[float]] = defaultdict(list)
         for hand in self.records.hands:
@@ -377,7 +389,7 @@
             begins, ends = outs[send.cache]
             begins.append(send.at)
             ends.append(self.records.outs.get(place, self.records.ended))
-        most, bound = {name: most_held(*times) for name, times in outs.items()}, self.drill.must.in_flight
+        most, bound = {name: most_held(*times) for name, times in outs.items()}, self.scenario.must.in_flight
         self.figures["in_flight_peak"] = max([count for count, _ in most.values()], default=0)
         for cache, (count, at) in most.items():
             if bound is not None and count > bound:
@@ -386,7 +398,7 @@
     def versions(self) -> None:
         """How long after a majority was handed a version a send was seen that it forbids."""
         records, longest, judged = self.records, 0.0, 0
-        majority = self.drill.fleet.proxies // 2 + 1
+        majority = self.scenario.fleet.proxies // 2 + 1
         held_at: dict[int, float] = {}
         for version in sorted(one.version for one in records.published):
             times = sorted(
@@ -413,7 +425,7 @@
                 since = held_at[version]
             if since is not None:
                 longest = max(longest, send.at - since)
-                bound = self.drill.must.settled_s
+                bound = self.scenario.must.settled_s
                 if bound is not None and send.at - since > bound + self.slack:
                     self.say(
                         "versions",
@@ -437,7 +449,7 @@
 
     def trials(self) -> None:
         """A bad version that is tried: where it fails orders, and for how long; what clients saw."""
-        bound, longest = self.drill.must.halted_s, 0.0
+        bound, longest = self.scenario.must.halted_s, 0.0
         orders = {attempt.id: attempt for attempt in self.records.tries if attempt.method == "order"}
         lost: dict[str, list[float]] = defaultdict(list)
         got: dict[str, list[float]] = defaultdict(list)
@@ -452,7 +464,7 @@
 
         for one in (one for one in self.records.attempts if one.bad and bound is not None):
             halted, end = one.at + bound, max(one.at + bound + 3.0, one.at + one.span)
-            for proxy in (f"p{number}" for number in range(self.drill.fleet.proxies)):
+            for proxy in (f"p{number}" for number in range(self.scenario.fleet.proxies)):
                 if proxy in one.proxies:
                     seen = [at for at in lost[proxy] if one.at <= at < halted]
                     longest = max(longest, max(seen, default=one.at) - one.at)
@@ -470,24 +482,26 @@
 
     def verdicts(self) -> None:
         """What sick caches are sent, and healthy ones beside them; from sends."""
-        bound, begins = self.drill.must.avoided_s, self.records.began
+        bound, begins = self.scenario.must.avoided_s, self.records.began
         for event in (
-            one for one in self.drill.event if one.do in ("sick", "sick_large") and bound is not None
+            one for one in self.scenario.event if one.do in ("sick", "sick_large") and bound is not None
         ):
-            ends = min(event.until or self.drill.seconds, self.drill.seconds)
+            ends = min(event.until or self.scenario.seconds, self.scenario.seconds)
             rates: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
             for send in self.records.sends:
                 at = send.at - begins
                 # One that is slow for large answers alone is healthy for the others, by its plain name.
                 cache = send.cache
-                if event.do == "sick_large" and send.method == "read" and self.drill.large(send.key):
+                if event.do == "sick_large" and send.method == "read" and self.scenario.large(send.key):
                     cache += LARGE
                 if event.at - BEFORE <= at < event.at:
                     rates[cache][0] += 1.0 / BEFORE
                 elif event.at + bound <= at < ends:
                     rates[cache][1] += 1.0 / (ends - event.at - bound)
             sick = event.who + LARGE if event.do == "sick_large" else event.who
-            others = {one.who for one in self.drill.event if one.do in ("sick", "sick_large")} - {event.who}
+            others = {one.who for one in self.scenario.event if one.do in ("sick", "sick_large")} - {
+                event.who
+            }
             for cache, (before, after) in sorted(rates.items()):
                 if before * BEFORE < TOLD or cache.removesuffix(LARGE) in others:
                     continue
@@ -510,7 +524,7 @@
 
     def costs(self) -> None:
         """What a proxy costs in the last third, by the system and by what went over the links."""
-        records, count = self.records, self.drill.fleet.proxies
+        records, count = self.records, self.scenario.fleet.proxies
         since = records.ended - (records.ended - records.began) / 3.0
         spent = [part for at, part in records.spent if at > since]
         sizes = [size for at, size in records.datagrams if at > since]
@@ -522,7 +536,7 @@
         }
 
     def served(self) -> None:
-        soft = self.drill.traffic.soft_ms / 1000.0
+        soft = self.scenario.traffic.soft_ms / 1000.0
         kinds = Counter(answer.kind for answer in self.records.answers)
         intents = sorted(self.records.intents)
         good = [i.done is not None and i.done <= i.at + soft for i in intents]
@@ -538,7 +552,7 @@
         for tenant in sorted(set(tenants)):
             ours = [fine for fine, one in zip(third, tenants, strict=True) if one == tenant]
             self.figures[f"{tenant}_in_time_last_third"] = part = round(sum(ours) / len(ours), 4)
-            least = self.drill.must.served_first
+            least = self.scenario.must.served_first
             if tenant == "shop" and least is not None and part < least:
                 self.say(
                     "served",
@@ -546,7 +560,7 @@
                     self.records.ended,
                     f"{part:.3f} of the first tenant's in time at the end, under {least:g}",
                 )
-        least = self.drill.must.served
+        least = self.scenario.must.served
         if least is not None and (not third or sum(third) / len(third) < least):
             part = sum(third) / len(third) if third else 0.0
             self.say("served", "all", self.records.ended, f"{part:.3f} in time at the end, under {least:g}")
@@ -564,14 +578,31 @@
 
     def crashes(self) -> None:
         ordered: dict[str, str] = {}
-        for life in sorted(self.records.lives, key=lambda life: life.at):
-            if life.what == "exited" and ordered.get(life.proxy) not in ("killed", "termed"):
-                self.say("crash", life.proxy, life.at, f"ended by itself with {life.code}")
-            elif life.what == "exited" and ordered.get(life.proxy) == "termed" and life.code != 0:
-                self.say("crash", life.proxy, life.at, f"ended with {life.code} after SIGTERM")
-            if life.what in ("launched", "killed", "termed"):
-                ordered[life.proxy] = life.what
+        for process_event in sorted(self.records.process_events, key=lambda process_event: process_event.at):
+            if process_event.what == "exited" and ordered.get(process_event.proxy) not in (
+                "killed",
+                "termed",
+            ):
+                self.say(
+                    "crash",
+                    process_event.proxy,
+                    process_event.at,
+                    f"ended by itself with {process_event.code}",
+                )
+            elif (
+                process_event.what == "exited"
+                and ordered.get(process_event.proxy) == "termed"
+                and process_event.code != 0
+            ):
+                self.say(
+                    "crash",
+                    process_event.proxy,
+                    process_event.at,
+                    f"ended with {process_event.code} after SIGTERM",
+                )
+            if process_event.what in ("launched", "killed", "termed"):
+                ordered[process_event.proxy] = process_event.what
 
 
-def check_history(drill: Scenario, records: History) -> Verdict:
-    return HistoryChecker(drill, records).judge()
+def check_history(scenario: Scenario, records: History) -> Verdict:
+    return HistoryChecker(scenario, records).judge()
--- a/calicofall/testbed/clients.py
+++ b/calicofall/testbed/clients.py
@@ -29,32 +29,32 @@
 class Draw:
     """All RPCs of a drill, drawn ahead: when, method, key, tenant."""
 
-    def __init__(self, drill: Scenario) -> None:
-        traffic, chance = drill.traffic, Random(drill.seed)
-        self.chance = Random(drill.seed + 1)
+    def __init__(self, scenario: Scenario) -> None:
+        traffic, random_generator = scenario.traffic, Random(scenario.seed)
+        self.random_generator = Random(scenario.seed + 1)
         tops = list(accumulate(1.0 / (rank + 1) ** traffic.skew for rank in range(traffic.keys)))
-        bursts = [(e.at, e.until or drill.seconds, e.amount) for e in drill.event if e.do == "burst"]
+        bursts = [(e.at, e.until or scenario.seconds, e.amount) for e in scenario.event if e.do == "burst"]
         self.rpcs: list[tuple[float, str, str, str]] = []
-        other = Random(drill.seed + 2)  # of its own: drills without a second tenant are as they were
+        other = Random(scenario.seed + 2)  # of its own: drills without a second tenant are as they were
         at = traffic.begins
         if traffic.record is not None:
             self.rpcs = [
                 (at + begin, method, key, tenant)
                 for begin, method, key, tenant in orjson.loads(Path(traffic.record).read_bytes())
-                if at + begin < drill.seconds
+                if at + begin < scenario.seconds
             ]
             return
         while True:
             rate = traffic.per_s
             for begin, end, times in bursts:
                 rate *= times if begin <= at < end else 1.0
-            at += chance.expovariate(rate)
-            if at >= drill.seconds:
+            at += random_generator.expovariate(rate)
+            if at >= scenario.seconds:
                 break
-            key = bisect_left(tops, chance.random() * tops[-1])
-            if traffic.hot and drill.hot(at) and other.random() < traffic.hot:
+            key = bisect_left(tops, random_generator.random() * tops[-1])
+            if traffic.hot and scenario.hot(at) and other.random() < traffic.hot:
                 key = HOT
-            kind = chance.random()
+            kind = random_generator.random()
             method = (
                 "order"
                 if kind < traffic.orders
@@ -112,16 +112,19 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        drill: Scenario,
+        scenario: Scenario,
         records: History,
         doors: dict[str, tuple[str, int]],
     ) -> None:
-        self.loop, self.drill, self.records, self.doors = loop, drill, records, doors
-        self.draw = Draw(drill)
-        self.chance, self.count = self.draw.chance, 0
+        self.loop, self.scenario, self.records, self.doors = loop, scenario, records, doors
+        self.draw = Draw(scenario)
+        self.random_generator, self.count = self.draw.random_generator, 0
         self.up: list[str] = []  # proxies that the front deals to
         self.idle: dict[str, list[Link]] = defaultdict(list)
-        fleet, through = drill.fleet, drill.traffic.through  # whom the first tenant's clients ask, where told
+        fleet, through = (
+            scenario.fleet,
+            scenario.traffic.through,
+        )  # whom the first tenant's clients ask, where told
         self.through: frozenset[str] | None = through and names(
             through, fleet.proxies, fleet.caches, fleet.zones
         )
@@ -130,7 +133,7 @@
         self.probe = max(0.1, len(doors) / 1000.0)  # s between two looks at a proxy that is not up
 
     def size(self, key: str) -> int:
-        return LARGE if self.drill.large(key) else SMALL
+        return LARGE if self.scenario.large(key) else SMALL
 
     def start(self, began: float) -> None:
         self.began = began
@@ -175,7 +178,7 @@
                     self.up.append(proxy)
             elif proxy in self.up:
                 lost = lost or now
-                if isinstance(said, resp.ErrorReply) or now - lost >= self.drill.traffic.notices_s:
+                if isinstance(said, resp.ErrorReply) or now - lost >= self.scenario.traffic.notices_s:
                     self.up.remove(proxy)
                     lost = None
             await asyncio.sleep(PING if proxy in self.up and lost is None else self.probe)
@@ -192,8 +195,8 @@
 
     async def want(self, at: float, method: str, key: str, tenant: str) -> None:
         """One RPC, with all its tries."""
-        traffic = self.drill.traffic
-        ends, mark = at + traffic.hard_ms / 1000.0, f"{self.chance.getrandbits(64):016x}"
+        traffic = self.scenario.traffic
+        ends, mark = at + traffic.hard_ms / 1000.0, f"{self.random_generator.getrandbits(64):016x}"
         done, tries, last = None, 0, ""
         while tries <= traffic.repeats and (left := ends - self.loop.time()) > 0.02:
             up = (
@@ -201,7 +204,7 @@
                 if tenant != "shop" or not self.through
                 else [one for one in self.up if one in self.through]
             )
-            proxy = self.chance.choice(up) if up else None
+            proxy = self.random_generator.choice(up) if up else None
             link = await self.reach(proxy) if proxy else None
             if link is None:
                 await asyncio.sleep(min(REDIAL, left))
--- a/calicofall/testbed/history.py
+++ b/calicofall/testbed/history.py
@@ -156,7 +156,7 @@
     told: list[ListEvent] = field(default_factory=list)
     tries: list[ClientAttempt] = field(default_factory=list)
     answers: list[ClientAnswer] = field(default_factory=list)
-    lives: list[ProcessEvent] = field(default_factory=list)
+    process_events: list[ProcessEvent] = field(default_factory=list)
     asked: list[DiscoveryCall] = field(default_factory=list)
     published: list[PublishedVersion] = field(default_factory=list)
     attempts: list[CanaryEvent] = field(default_factory=list)
--- a/calicofall/testbed/hot_key_simulation.py
+++ b/calicofall/testbed/hot_key_simulation.py
@@ -41,11 +41,13 @@
         for node in self.fleet:
             self.begin(node)
 
-    def build(self, node: SimulatedNode, incarnation: int, chance: Random) -> HotKeyDetector:
+    def build(self, node: SimulatedNode, incarnation: int, random_generator: Random) -> HotKeyDetector:
         """A new instance for a node, which begins to see requests."""
-        self.at(self.now, self.arrive, node, node.life)
+        self.at(self.now, self.arrive, node, node.incarnation)
         capacity = self.endpoint_capacity_per_s
-        return self.make(node.me, incarnation, len(self.fleet), capacity, node.clock(self.now), chance)
+        return self.make(
+            node.me, incarnation, len(self.fleet), capacity, node.clock(self.now), random_generator
+        )
 
     def deliver(self, node: SimulatedNode, message: KeyCountMessage) -> None:
         """Hands a message to a node's instance, and sends its answer."""
@@ -69,13 +71,13 @@
             return
         instance: HotKeyDetector = node.instance
         instance.saw(node.clock(self.now), self.draw_key())
-        self.at(self.now + self.chance.expovariate(self.rate), self.arrive, node, incarnation)
+        self.at(self.now + self.random_generator.expovariate(self.rate), self.arrive, node, incarnation)
 
     def draw_key(self) -> int:
         """A key by the fractions, or one that comes once."""
         self.last_unique_key += 1
         cumulative = accumulate(self.key_fractions.values())
-        draw = self.chance.random()
+        draw = self.random_generator.random()
         for key, bound in zip(self.key_fractions, cumulative, strict=True):
             if draw < bound:
                 return key
--- a/calicofall/testbed/membership_simulation.py
+++ b/calicofall/testbed/membership_simulation.py
@@ -25,9 +25,9 @@
         for node in self.fleet:
             self.begin(node)
 
-    def build(self, node: SimulatedNode, incarnation: int, chance: Random) -> Membership:
+    def build(self, node: SimulatedNode, incarnation: int, random_generator: Random) -> Membership:
         """A new instance for a node."""
-        return self.make(node.me, incarnation, self.members, node.clock(self.now), chance)
+        return self.make(node.me, incarnation, self.members, node.clock(self.now), random_generator)
 
     def deliver(self, node: SimulatedNode, message: MembershipProbe) -> None:
         """Hands a message to a node's instance, and sends what it returns."""
--- a/calicofall/testbed/network_faults.py
+++ b/calicofall/testbed/network_faults.py
@@ -52,7 +52,7 @@
     """
 
     def __init__(self, seed: int) -> None:
-        self.chance = Random(seed)
+        self.random_generator = Random(seed)
         self.faults: list[LinkFault] = []
         self.seen: dict[tuple[str, str], LinkState] = {}  # states looked up since the last change
         self.since: dict[int, float] = {}  # by identity of a fault in force
@@ -97,4 +97,4 @@
 
     def lost(self, link: LinkState) -> bool:
         """Return whether a datagram on this link is lost; draws a random number where the link has a loss."""
-        return link.cut_to or link.reset or (link.loss > 0.0 and self.chance.random() < link.loss)
+        return link.cut_to or link.reset or (link.loss > 0.0 and self.random_generator.random() < link.loss)
--- a/calicofall/testbed/outlier_simulation.py
+++ b/calicofall/testbed/outlier_simulation.py
@@ -67,9 +67,9 @@
         """The zone of a proxy."""
         return me % self.zones
 
-    def build(self, node: SimulatedNode, incarnation: int, chance: Random) -> OutlierConsensus:
+    def build(self, node: SimulatedNode, incarnation: int, random_generator: Random) -> OutlierConsensus:
         """A new instance for a node."""
-        instance = self.make(node.me, incarnation, self.zone(node.me), chance)
+        instance = self.make(node.me, incarnation, self.zone(node.me), random_generator)
         instance.keep(set(range(self.caches)))
         return instance
 
@@ -133,7 +133,7 @@
             avoided = self.avoided(node.me)
             for endpoint in range(self.caches):
                 fraction = EJECTED_FRACTION if endpoint in avoided else 1.0
-                if self.chance.random() < self.rate * OBSERVATION_INTERVAL_S * fraction:
+                if self.random_generator.random() < self.rate * OBSERVATION_INTERVAL_S * fraction:
                     self.send_request(node, endpoint)
             self.observations += self.caches
             self.healthy_avoided += sum(not self.is_unhealthy(node.me, endpoint) for endpoint in avoided)
@@ -146,7 +146,7 @@
         instance: OutlierConsensus = node.instance
         is_unhealthy = self.is_unhealthy(node.me, endpoint)
         failure_fraction = UNHEALTHY_FAILURE_FRACTION if is_unhealthy else self.false_failure_fraction
-        succeeded = self.chance.random() >= failure_fraction
+        succeeded = self.random_generator.random() >= failure_fraction
         instance.saw(node.clock(self.now), endpoint, succeeded)
         if not succeeded:
             self.own_ejections[node.me][endpoint] = self.now + OWN_EJECTION_S
--- a/calicofall/testbed/quota_simulation.py
+++ b/calicofall/testbed/quota_simulation.py
@@ -36,10 +36,12 @@
             self.begin(node)
         self.at(0.0, self.observe_periodically)
 
-    def build(self, node: SimulatedNode, incarnation: int, chance: Random) -> QuotaLeases:
+    def build(self, node: SimulatedNode, incarnation: int, random_generator: Random) -> QuotaLeases:
         """A new instance for a node."""
         now = node.clock(self.now)
-        return self.make(0, node.me, incarnation, len(self.fleet), now, self.lease, self.drift, chance)
+        return self.make(
+            0, node.me, incarnation, len(self.fleet), now, self.lease, self.drift, random_generator
+        )
 
     def demand_units(self, node: SimulatedNode) -> int:
         """How many units of the limit a node could use."""
@@ -98,13 +100,13 @@
 
 def run_random_faults(simulation: QuotaSimulation, seconds: float) -> None:
     """Runs with changes of demand and faults drawn from the simulation's seed."""
-    chance = simulation.chance
+    random_generator = simulation.random_generator
     count = len(simulation.fleet)
     while simulation.now < seconds:
-        simulation.run(simulation.now + chance.uniform(0.05, 1.0))
-        kind = chance.randrange(8)
-        me = chance.randrange(count)
-        duration_s = chance.choice([0.5, 2.0, 4.0, 8.0])
+        simulation.run(simulation.now + random_generator.uniform(0.05, 1.0))
+        kind = random_generator.randrange(8)
+        me = random_generator.randrange(count)
+        duration_s = random_generator.choice([0.5, 2.0, 4.0, 8.0])
         if kind < 3:
             _change_demand(simulation)
         elif kind == 3:
@@ -112,9 +114,11 @@
         elif kind == 4:
             simulation.rise(me)
         elif kind == 5:
-            simulation.isolate(me, chance.choice(["in", "out", "both"]), duration_s)
+            simulation.isolate(me, random_generator.choice(["in", "out", "both"]), duration_s)
         elif kind == 6:
-            simulation.split(set(chance.sample(range(count), chance.randint(1, count - 1))), duration_s)
+            simulation.split(
+                set(random_generator.sample(range(count), random_generator.randint(1, count - 1))), duration_s
+            )
         elif me not in simulation.dead and len(simulation.dead) < count // 3:
             simulation.kill({me})
         elif simulation.dead:
@@ -123,8 +127,8 @@
 
 def _change_demand(simulation: QuotaSimulation) -> None:
     """Divides a random demand evenly between some of the nodes."""
-    chance = simulation.chance
+    random_generator = simulation.random_generator
     count = len(simulation.fleet)
-    demanding = chance.sample(range(count), chance.randint(1, count))
-    total = chance.choice([0, UNITS // 2, UNITS, 5 * UNITS])
+    demanding = random_generator.sample(range(count), random_generator.randint(1, count))
+    total = random_generator.choice([0, UNITS // 2, UNITS, 5 * UNITS])
     simulation.wants = [total // len(demanding) if me in demanding else 0 for me in range(count)]
--- a/calicofall/testbed/randomized_scenarios.py
+++ b/calicofall/testbed/randomized_scenarios.py
@@ -43,29 +43,35 @@
 Event = dict[str, Any]  # an event of a scenario, as in its file
 
 
-def _draw_event(chance: Random, proxies: int, caches: int) -> Event:
-    at = round(chance.uniform(0.0, DURATION_S - CALM_S - 3.0), 1)
-    until = round(at + chance.uniform(0.5, 3.0), 1)
-    some = f"p{chance.randrange(proxies)}-p{proxies - 1}"
-    who = chance.choice(["half", "third", "zone:a", "zone:b", some, f"p{chance.randrange(proxies)}"])
-    do = chance.choice(chance.choice([PROCESS_EVENTS, LINK_EVENTS, SERVICE_EVENTS, CACHE_EVENTS]))
+def _draw_event(random_generator: Random, proxies: int, caches: int) -> Event:
+    at = round(random_generator.uniform(0.0, DURATION_S - CALM_S - 3.0), 1)
+    until = round(at + random_generator.uniform(0.5, 3.0), 1)
+    some = f"p{random_generator.randrange(proxies)}-p{proxies - 1}"
+    who = random_generator.choice(
+        ["half", "third", "zone:a", "zone:b", some, f"p{random_generator.randrange(proxies)}"]
+    )
+    do = random_generator.choice(
+        random_generator.choice([PROCESS_EVENTS, LINK_EVENTS, SERVICE_EVENTS, CACHE_EVENTS])
+    )
     if do in PROCESS_EVENTS:
         timed = {} if do == "restart" else {"until": until}
-        return {"at": at, "do": do, "who": who, "over": chance.choice([0.0, 1.0])} | timed
+        return {"at": at, "do": do, "who": who, "over": random_generator.choice([0.0, 1.0])} | timed
     if do in LINK_EVENTS:
-        return _draw_link_event(chance, do, who, at, until)
+        return _draw_link_event(random_generator, do, who, at, until)
     if do in SERVICE_EVENTS:
-        amount = {"service_late": 1.0, "service_restart": float(chance.choice([0, 3, 1000]))}.get(do, 0.0)
+        amount = {"service_late": 1.0, "service_restart": float(random_generator.choice([0, 3, 1000]))}.get(
+            do, 0.0
+        )
         timed = {} if do == "service_restart" else {"until": until}
         return {"at": at, "do": do, "amount": amount} | timed
-    cache = f"c{chance.randrange(caches)}"
+    cache = f"c{random_generator.randrange(caches)}"
     timed = {"until": until} if do == "sick" else {}
     return {"at": at, "do": do, "who": cache, "amount": 8.0} | timed
 
 
-def _draw_link_event(chance: Random, do: str, who: str, at: float, until: float) -> Event:
+def _draw_link_event(random_generator: Random, do: str, who: str, at: float, until: float) -> Event:
     amount = {"delay": 0.05, "slow": 20_000.0, "lose": 0.5}.get(do, 0.0)
-    to = chance.choice(["caches", "list", "zone:b", "proxies"]) if do != "lose" else "proxies"
+    to = random_generator.choice(["caches", "list", "zone:b", "proxies"]) if do != "lose" else "proxies"
     return {
         "at": at,
         "until": until,
@@ -73,16 +79,16 @@
         "who": who,
         "to": to,
         "amount": amount,
-        "way": chance.choice(["both", "to", "back"]),
+        "way": random_generator.choice(["both", "to", "back"]),
     }
 
 
 def draw_scenario(seed: int) -> Scenario:
     """Draw a scenario with one to four faults of any kind."""
-    chance = Random(seed)
-    proxies = chance.randint(MIN_PROXIES, MAX_PROXIES)
-    caches = chance.randint(4, 10)
-    room = chance.choice([3.0, 5.0, 100.0])
+    random_generator = Random(seed)
+    proxies = random_generator.randint(MIN_PROXIES, MAX_PROXIES)
+    caches = random_generator.randint(4, 10)
+    room = random_generator.choice([3.0, 5.0, 100.0])
     handshakes = proxies * 3.0
     connections = proxies * 4
     return parse_scenario(
@@ -93,62 +99,70 @@
             "fleet": {
                 "proxies": proxies,
                 "caches": caches,
-                "speak": chance.random() < 0.7,
-                "snapshot": chance.random() < 0.3,
-                "over": chance.choice([0.0, 2.0]),
+                "speak": random_generator.random() < 0.7,
+                "snapshot": random_generator.random() < 0.3,
+                "over": random_generator.choice([0.0, 2.0]),
             },
             "service": {
                 "room": room,
-                "retry_after_s": chance.choice([1, 2]) if chance.random() < 0.3 else None,
+                "retry_after_s": random_generator.choice([1, 2]) if random_generator.random() < 0.3 else None,
+            },
+            "cache": {
+                "handshakes": handshakes,
+                "connections": connections,
+                "cold": random_generator.random() < 0.7,
             },
-            "cache": {"handshakes": handshakes, "connections": connections, "cold": chance.random() < 0.7},
-            "traffic": {"per_s": 50.0, "large": chance.choice([0.0, 0.05])},
-            "event": [_draw_event(chance, proxies, caches) for _ in range(chance.randint(1, 4))],
+            "traffic": {"per_s": 50.0, "large": random_generator.choice([0.0, 0.05])},
+            "event": [
+                _draw_event(random_generator, proxies, caches) for _ in range(random_generator.randint(1, 4))
+            ],
             "must": {"asks_per_room": 1.5, "handshakes": handshakes, "connections": connections},
         },
         f"walk {seed}",
     )
 
 
-def _draw_version_fault(chance: Random, proxies: int) -> Event:
+def _draw_version_fault(random_generator: Random, proxies: int) -> Event:
     """Draw what keeps a proxy from versions: after the first lease is held and before the calm."""
-    at = round(chance.uniform(VERSION_FAULTS_BEGIN_S, VERSION_FAULTS_END_S - 1.5), 1)
-    until = round(at + chance.uniform(0.5, 4.0), 1)
-    first = chance.randrange(proxies)
-    count = chance.randint(1, (proxies - 1) // 2)
+    at = round(random_generator.uniform(VERSION_FAULTS_BEGIN_S, VERSION_FAULTS_END_S - 1.5), 1)
+    until = round(at + random_generator.uniform(0.5, 4.0), 1)
+    first = random_generator.randrange(proxies)
+    count = random_generator.randint(1, (proxies - 1) // 2)
     minority = ",".join(f"p{(first + place) % proxies}" for place in range(count))
-    do = chance.choice(VERSION_FAULTS)
+    do = random_generator.choice(VERSION_FAULTS)
     if do in ("cut", "lose", "delay"):
         return {
             "at": at,
             "until": until,
             "do": do,
             "who": minority,
-            "to": chance.choice(["proxies", "proxies,list", "list"]) if do == "cut" else "proxies",
+            "to": random_generator.choice(["proxies", "proxies,list", "list"]) if do == "cut" else "proxies",
             "amount": {"lose": 0.4, "delay": 0.3}.get(do, 0.0),
-            "way": chance.choice(["both", "to", "back"]),
+            "way": random_generator.choice(["both", "to", "back"]),
         }
     if do == "stop":
-        return {"at": at, "until": until, "do": do, "who": chance.choice([minority, "third"])}
+        return {"at": at, "until": until, "do": do, "who": random_generator.choice([minority, "third"])}
     if do == "restart":
         return {"at": at, "do": do, "who": f"p{first}"}
     if do == "service_restart":
-        return {"at": at, "do": do, "older": chance.randint(0, 2)}
+        return {"at": at, "do": do, "older": random_generator.randint(0, 2)}
     return {"at": at, "until": until, "do": do}
 
 
 def draw_version_scenario(seed: int) -> Scenario:
     """Draw a scenario that publishes settings every second or two, with faults between the proxies."""
-    chance = Random(seed)
-    proxies = chance.choice([8, 8, 9, 12])
+    random_generator = Random(seed)
+    proxies = random_generator.choice([8, 8, 9, 12])
     lease_s = 1.0
-    events = [_draw_version_fault(chance, proxies) for _ in range(chance.randint(1, 4))]
+    events = [_draw_version_fault(random_generator, proxies) for _ in range(random_generator.randint(1, 4))]
     at = FIRST_PUBLISH_S
     zones = "ab"
     while at < VERSION_FAULTS_END_S:
-        zones = chance.choice("ab") if zones == "ab" else "ab"  # two that follow each other share a zone
+        zones = (
+            random_generator.choice("ab") if zones == "ab" else "ab"
+        )  # two that follow each other share a zone
         events.append({"at": round(at, 1), "do": "publish", "zones": zones})
-        at += chance.uniform(0.8, 2.4)
+        at += random_generator.uniform(0.8, 2.4)
     settled_s = lease_s * (1.0 + DRIFT) ** 2 + PAUSE
     return parse_scenario(
         {
--- a/calicofall/testbed/rate_slot_simulation.py
+++ b/calicofall/testbed/rate_slot_simulation.py
@@ -50,13 +50,13 @@
         self.takers_by_slot: Counter[int] = Counter()
         super().__init__(fleet, seed, make, drift=0.0, **links)
 
-    def build(self, node: SimulatedNode, incarnation: int, chance: Random) -> RateSlots:
+    def build(self, node: SimulatedNode, incarnation: int, random_generator: Random) -> RateSlots:
         """A new instance for a node, which begins to use its slots."""
-        instance = super().build(node, incarnation, chance)
+        instance = super().build(node, incarnation, random_generator)
         assert isinstance(instance, RateSlots)
-        wall = self.now + WALL_CLOCK_OFFSET_S + self.skew * self.chance.random()
+        wall = self.now + WALL_CLOCK_OFFSET_S + self.skew * self.random_generator.random()
         self.time_slots[node.me] = TimeSlots(node.me, len(self.fleet), self.room, node.clock(self.now), wall)
-        self.at(self.now, self.take_slots, node, node.life)
+        self.at(self.now, self.take_slots, node, node.incarnation)
         return instance
 
     def demand_units(self, node: SimulatedNode) -> int:
@@ -103,9 +103,9 @@
         self.origin_slots: dict[int, OriginFetchSlots] = {}  # by node
         super().__init__(*values, **more)
 
-    def build(self, node: SimulatedNode, incarnation: int, chance: Random) -> RateSlots:
+    def build(self, node: SimulatedNode, incarnation: int, random_generator: Random) -> RateSlots:
         """A new instance for a node, with its slots at the origin."""
-        instance = super().build(node, incarnation, chance)
+        instance = super().build(node, incarnation, random_generator)
         origin_slots = OriginFetchSlots(instance, self.room, node.clock(self.now), 0.0)
         origin_slots.grid = self.time_slots[node.me]
         self.origin_slots[node.me] = origin_slots
@@ -119,7 +119,7 @@
         origin_slots = self.origin_slots[node.me]
         while self.wants[node.me] and origin_slots.due(now) <= now:
             slot_at = origin_slots.take(now)
-            if self.chance.random() < self.returned_fraction:
+            if self.random_generator.random() < self.returned_fraction:
                 self.at(self.now + RETURN_DELAY_S, self.return_slot, node, incarnation, slot_at)
             else:
                 self.taken_at.append(self.now)
--- a/calicofall/testbed/routing_simulation.py
+++ b/calicofall/testbed/routing_simulation.py
@@ -70,7 +70,7 @@
         max_retries: int = MAX_RETRIES,
         make: Callable[..., Router] = Router,
     ) -> None:
-        self.chance = Random(seed)
+        self.random_generator = Random(seed)
         self.now = 0.0
         self.events: list[tuple[float, int, Callable[..., Any], tuple[Any, ...]]] = []  # heap
         self.count = count()
@@ -115,7 +115,7 @@
         self.now = until
 
     def _gap(self) -> float:
-        return self.now + self.chance.expovariate(self.per_s) * 1000.0
+        return self.now + self.random_generator.expovariate(self.per_s) * 1000.0
 
     def begin(self, number: int) -> Router:
         """Return the router of a proxy that starts now."""
@@ -147,12 +147,12 @@
         self.wishes += 1
         key = self._place(self.cumulative_key_weights) + 1
         proxy = self._place(self.cumulative_proxy_weights)
-        method = "save" if self.chance.random() < self.writes else "read"
+        method = "save" if self.random_generator.random() < self.writes else "read"
         self.ask(proxy, method, key, self.now, 0)
 
     def _place(self, cumulative_weights: list[float]) -> int:
         """Draw an index by its weight."""
-        return bisect_left(cumulative_weights, self.chance.random() * cumulative_weights[-1])
+        return bisect_left(cumulative_weights, self.random_generator.random() * cumulative_weights[-1])
 
     def ask(self, proxy: int, method: str, key: int, wanted: float, retries: int) -> None:
         """Send a client's request to a proxy, unless too little of its time is left."""
--- a/calicofall/testbed/runner.py
+++ b/calicofall/testbed/runner.py
@@ -58,14 +58,14 @@
 class ScenarioRunner:
     def __init__(
         self,
-        drill: Scenario,
+        scenario: Scenario,
         folder: Path,
         program: str | None = None,
         commands: dict[int, list[str]] | None = None,
         told: Callable[[str], None] = lambda line: None,
     ) -> None:
-        self.drill, self.folder, self.program, self.commands = drill, folder, program, commands or {}
-        self.tell, self.records, self.links = told, History(), LinkFaults(drill.seed)
+        self.scenario, self.folder, self.program, self.commands = scenario, folder, program, commands or {}
+        self.tell, self.records, self.links = told, History(), LinkFaults(scenario.seed)
         self.wires: set[EmulatedConnection] = set()
         self.processes: dict[str, subprocess.Popen] = {}
         self.gone: dict[str, asyncio.Future] = {}  # the end of each one's present life, once recorded
@@ -90,7 +90,7 @@
             self.clients.start(self.began)
             self.plan()
             await self.launch_all()
-            while (left := self.began + self.drill.seconds - self.loop.time()) > 0.0:
+            while (left := self.began + self.scenario.seconds - self.loop.time()) > 0.0:
                 await asyncio.sleep(min(1.0, left))
                 self.progress()
         finally:
@@ -110,28 +110,31 @@
         self.records.fetches = self.origin.spans
         self.records.falls = [(at, name) for name, stand in self.caches.items() for at in stand.model.falls]
         self.records.faults = self.links.spans
-        return check_history(self.drill, self.records)
+        return check_history(self.scenario, self.records)
 
     # Stand-ins
 
     def open(self) -> None:
-        drill, cache = self.drill, self.drill.cache
-        fleet = drill.fleet
-        self.origin = OriginModel(drill.origin.fetches, drill.origin.fetch_ms / 1000.0)
+        scenario, cache = self.scenario, self.scenario.cache
+        fleet = scenario.fleet
+        self.origin = OriginModel(scenario.origin.fetches, scenario.origin.fetch_ms / 1000.0)
         free = ports(2 * fleet.proxies)
         self.doors = {f"p{i}": ("127.0.0.1", free[i]) for i in range(fleet.proxies)}
         self.offices = [f"127.0.0.1:{port}" for port in free[fleet.proxies :]]  # where operators call
-        self.clients = Clients(self.loop, drill, self.records, self.doors)
+        self.clients = Clients(self.loop, scenario, self.records, self.doors)
         self.caches: dict[str, CacheEmulator] = {}
         for number in range(fleet.caches):
             self.build(f"c{number}")
         model = DiscoveryModel(
-            drill.service.room, drill.service.open, drill.service.retry_after_s, drill.service.queue
+            scenario.service.room,
+            scenario.service.open,
+            scenario.service.retry_after_s,
+            scenario.service.queue,
         )
         self.service = DiscoveryEmulator(
             self, model, lambda: {n: stand.port for n, stand in self.caches.items()}
         )
-        self.service.agents = drill.service.agents
+        self.service.agents = scenario.service.agents
         wall, now = time.time(), self.loop.time()
         for name, stand in self.caches.items():
             if cache.cold:
@@ -151,7 +154,7 @@
             ]
 
     def build(self, name: str) -> None:
-        cache = self.drill.cache
+        cache = self.scenario.cache
         model = CacheModel(
             self.origin,
             cache.slots,
@@ -170,7 +173,7 @@
     def entry(self, name: str, status: str = "SERVING", since: float | None = None) -> dict[str, Any]:
         before = self.service.model.entries.get(name, {})
         since_ms = before.get("since_ms", 0) if since is None else round(since * 1000.0)
-        zone = ZONES[int(name[1:]) % self.drill.fleet.zones]
+        zone = ZONES[int(name[1:]) % self.scenario.fleet.zones]
         return {
             "name": name,
             "zone": zone,
@@ -191,16 +194,16 @@
             method | (order if method["name"] == "order" else {"keeps": ["place", "repeats"]})
             for method in settings["methods"]
         ]
-        members = list(range(self.drill.fleet.proxies))
+        members = list(range(self.scenario.fleet.proxies))
         return seal_document(
             {
                 "version": version,
                 "after": version - 1,
                 "note": f"order in {zones}",
-                "fleet": self.drill.name,
+                "fleet": self.scenario.name,
                 "members": members,
                 "keepers": members[:KEEPERS],
-                "lease": {"s": self.drill.fleet.lease_s, "drift": DRIFT, "pauseS": PAUSE},
+                "lease": {"s": self.scenario.fleet.lease_s, "drift": DRIFT, "pauseS": PAUSE},
                 "settings": settings | {"methods": methods},
             }
             | ({"trial": trial} if trial else {})
@@ -209,8 +212,8 @@
     # Proxies
 
     def settings(self, number: int) -> dict[str, Any]:
-        drill = self.drill
-        fleet, cache, traffic = drill.fleet, drill.cache, drill.traffic
+        scenario = self.scenario
+        fleet, cache, traffic = scenario.fleet, scenario.cache, scenario.traffic
 
         def method(name: str, effect: str, gain: float) -> dict[str, Any]:
             return {
@@ -264,12 +267,12 @@
 
     def node(self, number: int) -> dict[str, Any]:
         """What proxy `number` is told."""
-        drill, name = self.drill, f"p{number}"
-        fleet, cache = drill.fleet, drill.cache
+        scenario, name = self.scenario, f"p{number}"
+        fleet, cache = scenario.fleet, scenario.cache
         start: dict[str, Any] = {}
         if fleet.told:
             start = {
-                "watchesPerS": drill.service.room,
+                "watchesPerS": scenario.service.room,
                 "connections": cache.connections,
                 "cachePerS": cache.slots / cache.hit_ms * 1000.0,
             }
@@ -277,14 +280,14 @@
                 start["handshakesPerS"] = cache.handshakes
             if cache.in_flight is not None:
                 start["inFlight"] = cache.in_flight
-            if drill.origin.per_s is not None:
-                start["fetchesPerS"] = drill.origin.per_s
+            if scenario.origin.per_s is not None:
+                start["fetchesPerS"] = scenario.origin.per_s
         if fleet.speak:
             own = self.relays[number].port
             start |= {
-                "fleet": drill.name,
+                "fleet": scenario.name,
                 "speak": f"127.0.0.1:{self.speaks[number]}",
-                "watchesPerS": drill.service.room,
+                "watchesPerS": scenario.service.room,
                 "peers": [f"{address(i)}:{own}" for i in range(fleet.proxies)],
             }
         if fleet.lend_s is not None:
@@ -298,7 +301,7 @@
             "name": name,
             "listen": f"{host}:{port}",
             "mgmt": self.offices[number],
-            "seed": f"{drill.seed * 1000 + number + 1:x}",
+            "seed": f"{scenario.seed * 1000 + number + 1:x}",
             "discovery": f"{address(number)}:{self.service.port}",
             "settings": self.settings(number),
             "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
@@ -310,7 +313,7 @@
         return node | ({"start": start} if start else {})
 
     async def launch_all(self) -> None:
-        fleet = self.drill.fleet
+        fleet = self.scenario.fleet
         for number in range(fleet.proxies):
             due = self.began + fleet.over * number / fleet.proxies
             if due > self.loop.time():
@@ -330,7 +333,7 @@
         if self.program:
             told["PYTHONPATH"] = self.program
         command = self.commands.get(number, PROGRAM)
-        if self.drill.fleet.accounts:
+        if self.scenario.fleet.accounts:
             command = [*command, "--log-level", "DEBUG"]
 
         def start() -> subprocess.Popen:
@@ -347,7 +350,7 @@
                 os.sched_setaffinity(process.pid, self.cores)
             return process
 
-        self.records.lives.append(ProcessEvent(self.loop.time(), name, "launched"))
+        self.records.process_events.append(ProcessEvent(self.loop.time(), name, "launched"))
         process = await self.loop.run_in_executor(None, start)
         self.processes[name] = process
         if self.stopping:
@@ -366,7 +369,7 @@
         os.close(eye)
         code = process.wait()
         if not self.stopping:
-            self.records.lives.append(ProcessEvent(self.loop.time(), name, "exited", code))
+            self.records.process_events.append(ProcessEvent(self.loop.time(), name, "exited", code))
         self.gone[name].set_result(None)
 
     def kill(self, name: str) -> None:
@@ -377,7 +380,7 @@
     def send(self, name: str, number: int, what: str) -> None:
         process = self.processes.get(name)
         if process is not None and process.poll() is None:
-            self.records.lives.append(ProcessEvent(self.loop.time(), name, what))
+            self.records.process_events.append(ProcessEvent(self.loop.time(), name, what))
             process.send_signal(number)
 
     async def again(self, name: str, forget: bool) -> None:
@@ -394,13 +397,13 @@
     # What happens
 
     def plan(self) -> None:
-        for event in self.drill.event:
+        for event in self.scenario.event:
             self.loop.call_at(self.began + event.at, self.begin, event)
             if event.until is not None and event.do not in ("burst",):
                 self.loop.call_at(self.began + event.until, self.finish, event)
 
     def group(self, who: str) -> frozenset[str]:
-        fleet = self.drill.fleet
+        fleet = self.scenario.fleet
         return names(who, fleet.proxies, fleet.caches, fleet.zones)
 
     def begin(self, event: Any) -> None:
@@ -516,7 +519,7 @@
         elif do == "service_late":
             self.service.model.late = 0.0
         elif do == "service_room":
-            self.service.model.room = self.drill.service.room
+            self.service.model.room = self.scenario.service.room
         elif do in ("sick", "sick_large"):
             for name in self.group(event.who):
                 model = self.caches[name].model
@@ -555,7 +558,7 @@
 
 
 def run_scenario(
-    drill: Scenario,
+    scenario: Scenario,
     folder: Path,
     program: str | None = None,
     commands: dict[int, list[str]] | None = None,
@@ -563,7 +566,7 @@
 ) -> tuple[Verdict, History]:
     """Plays a drill to its end; all processes that it started are gone then, also after Ctrl-C."""
     folder.mkdir(parents=True, exist_ok=True)
-    stage = ScenarioRunner(drill, folder, program, commands, told)
+    stage = ScenarioRunner(scenario, folder, program, commands, told)
 
     async def run() -> Verdict:
         loop, task = asyncio.get_running_loop(), asyncio.current_task()
--- a/calicofall/testbed/simulation.py
+++ b/calicofall/testbed/simulation.py
@@ -35,7 +35,7 @@
         self.rate = rate
         self.offset = offset
         self.instance: Any = None
-        self.life = 0
+        self.incarnation = 0
         self.stopped = False
         self.deferred: list[tuple[Callback, tuple[Any, ...]]] = []  # what happens once it is resumed
 
@@ -61,13 +61,15 @@
         slow: float = 0.02,
         stuck: float = 0.0,
     ) -> None:
-        self.chance = Random(seed)
+        self.random_generator = Random(seed)
         self.loss = loss
         self.double = double
         self.slow = slow
         self.stuck = stuck
         self.fleet = [
-            SimulatedNode(me, 1.0 + drift * self.chance.random(), 1000.0 * self.chance.random())
+            SimulatedNode(
+                me, 1.0 + drift * self.random_generator.random(), 1000.0 * self.random_generator.random()
+            )
             for me in range(fleet)
         ]
         self.cuts: Counter[tuple[int, int]] = Counter()  # by (from, to): how many cuts apply to a link
@@ -80,7 +82,7 @@
 
     # What a subclass provides
 
-    def build(self, node: SimulatedNode, incarnation: int, chance: Random) -> Any:
+    def build(self, node: SimulatedNode, incarnation: int, random_generator: Random) -> Any:
         """A new instance for a node."""
         raise NotImplementedError
 
@@ -114,18 +116,23 @@
 
     def begin(self, node: SimulatedNode) -> None:
         """Starts a new incarnation of a node."""
-        node.life += 1
+        node.incarnation += 1
         node.stopped = False
-        incarnation = self.chance.getrandbits(40)
-        rng = Random(self.chance.getrandbits(40))
+        incarnation = self.random_generator.getrandbits(40)
+        rng = Random(self.random_generator.getrandbits(40))
         node.instance = self.build(node, incarnation, rng)
-        self.at(self.now + self.chance.uniform(0.0, MAX_START_DELAY_S), self.wake, node, node.life)
+        self.at(
+            self.now + self.random_generator.uniform(0.0, MAX_START_DELAY_S),
+            self.wake,
+            node,
+            node.incarnation,
+        )
 
     def alive(self, node: SimulatedNode, incarnation: int, callback: Callback, *values: Any) -> bool:
         """Whether a node does this now; one that is stopped does it once it is resumed."""
-        if node.life == incarnation and node.stopped:
+        if node.incarnation == incarnation and node.stopped:
             node.deferred.append((callback, values))
-        return node.life == incarnation and not node.stopped
+        return node.incarnation == incarnation and not node.stopped
 
     def wake(self, node: SimulatedNode, incarnation: int) -> None:
         """Calls a node's instance, and schedules the next call."""
@@ -140,18 +147,22 @@
     def send(self, sender: int, to: int, message: Any) -> None:
         """Sends a message, which may be lost, late or duplicated."""
         self.sent += 1
-        if self.cuts[sender, to] or self.chance.random() < self.loss:
+        if self.cuts[sender, to] or self.random_generator.random() < self.loss:
             return
-        for _ in range(1 + (self.chance.random() < self.double)):
-            extra_s = self.chance.uniform(0.0, MAX_STUCK_S) if self.chance.random() < self.stuck else 0.0
+        for _ in range(1 + (self.random_generator.random() < self.double)):
+            extra_s = (
+                self.random_generator.uniform(0.0, MAX_STUCK_S)
+                if self.random_generator.random() < self.stuck
+                else 0.0
+            )
             extra_s += self.held_up.get((sender, to), 0.0)
-            delay_s = self.slow * self.chance.random() ** 3 * DELAY_TAIL
+            delay_s = self.slow * self.random_generator.random() ** 3 * DELAY_TAIL
             self.at(self.now + delay_s + extra_s, self.receive, to, message)
 
     def receive(self, to: int, message: Any) -> None:
         """A message arrives."""
         node = self.fleet[to]
-        if to not in self.dead and self.alive(node, node.life, self.receive, to, message):
+        if to not in self.dead and self.alive(node, node.incarnation, self.receive, to, message):
             self.deliver(node, message)
 
     # Faults
@@ -161,11 +172,11 @@
         node = self.fleet[me]
         if not node.stopped:
             node.stopped = True
-            self.at(self.now + duration_s, self.resume, node, node.life)
+            self.at(self.now + duration_s, self.resume, node, node.incarnation)
 
     def resume(self, node: SimulatedNode, incarnation: int) -> None:
         """A node goes on where it was stopped."""
-        if node.life != incarnation:
+        if node.incarnation != incarnation:
             return
         node.stopped = False
         deferred = node.deferred
@@ -183,7 +194,7 @@
     def kill(self, members: Iterable[int]) -> None:
         """Ends nodes until they are started again."""
         for me in members:
-            self.fleet[me].life += 1  # so that nothing scheduled before happens
+            self.fleet[me].incarnation += 1  # so that nothing scheduled before happens
             self.dead.add(me)
 
     def rise(self, me: int) -> None:
--- a/calicofall/testbed/startup_simulation.py
+++ b/calicofall/testbed/startup_simulation.py
@@ -75,15 +75,15 @@
         self.has_list = False
         self.waits = False  # whether its first attempt has been scheduled
         self.stopped = Span()
-        chance = Random(scenario.seed * 1_000_003 + number)
+        random_generator = Random(scenario.seed * 1_000_003 + number)
         rate = scenario.rate_per_s if scenario.rate_configured else None
         slots = None
         if rate:
             slots = TimeSlots(number, scenario.proxies, rate, 0.0, FIRST_WALL_CLOCK_S + clock_error_s)
-        self.schedule = DiscoverySchedule(chance, scenario.proxies, MAX_BACKOFF_S, slots)
+        self.schedule = DiscoverySchedule(random_generator, scenario.proxies, MAX_BACKOFF_S, slots)
         self.estimate: ContentionEstimate | None = None
         if rate and scenario.peer_messages and scenario.proxies > 1:
-            self.estimate = ContentionEstimate(number, scenario.proxies, rate, chance)
+            self.estimate = ContentionEstimate(number, scenario.proxies, rate, random_generator)
 
 
 class Event(NamedTuple):
@@ -100,10 +100,10 @@
 
     def __init__(self, scenario: StartupScenario) -> None:
         self.scenario = scenario
-        self.chance = Random(scenario.seed)
+        self.random_generator = Random(scenario.seed)
         self.service = DiscoveryModel(scenario.rate_per_s, 10**9)
         self.nodes = [
-            StartingNode(number, scenario, self.chance.uniform(0.0, scenario.clock_difference_s))
+            StartingNode(number, scenario, self.random_generator.uniform(0.0, scenario.clock_difference_s))
             for number in range(scenario.proxies)
         ]
         self.now = 0.0
@@ -117,13 +117,13 @@
     def _schedule_starts(self) -> None:
         scenario = self.scenario
         count = scenario.proxies if scenario.starting is None else scenario.starting
-        starting = set(self.chance.sample(range(scenario.proxies), count))
+        starting = set(self.random_generator.sample(range(scenario.proxies), count))
         for node in self.nodes:
             node.has_list = node.number not in starting
             if scenario.stopped_every and node.number % scenario.stopped_every == 0:
                 node.stopped = scenario.stopped
             if node.number in starting:
-                start_s = self.chance.uniform(0.0, scenario.starts_within_s)
+                start_s = self.random_generator.uniform(0.0, scenario.starts_within_s)
                 self._schedule(start_s, node, partial(self._start, node))
 
     def run(self) -> StartupResult:
@@ -147,7 +147,7 @@
 
     def _send(self, receiver: StartingNode, action: Callable[[], None]) -> None:
         self.datagrams += 1
-        if self.chance.random() >= self.scenario.lost_fraction:
+        if self.random_generator.random() >= self.scenario.lost_fraction:
             self._schedule(self.now + MESSAGE_DELAY_S, receiver, action)
 
     def _start(self, node: StartingNode) -> None:
--- a/tests/rogues.py
+++ b/tests/rogues.py
@@ -98,7 +98,7 @@
     from calicofall.routing.limits import Limits
     from calicofall.routing.slow_start import SlowStart
 
-    SlowStart.admits = lambda self, now, key, endpoint, chance: True
+    SlowStart.admits = lambda self, now, key, endpoint, random_generator: True
     Limits.admits = lambda self, now, limit, request, low_traffic: True
 
 
@@ -140,7 +140,7 @@
         well=0, badly=10_000, age=3_600_000
     )
     OutlierConsensus._open = lambda self, now, doubted: sorted(
-        self.listed, key=lambda cache: self.chance.random()
+        self.listed, key=lambda cache: self.random_generator.random()
     )
 
 
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -57,11 +57,11 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_long_and_short_answers_cut_anywhere_arrive_whole(seed: int) -> None:
-    chance, desk = Random(seed), Desk().spacious()
+    random_generator, desk = Random(seed), Desk().spacious()
     client = desk.client()
     for number in range(20):
-        value = chance.randbytes(
-            chance.choice(
+        value = random_generator.randbytes(
+            random_generator.choice(
                 [
                     0,
                     9,
@@ -76,7 +76,7 @@
         line = next(stream for stream, _ in desk.loop.opened if stream.pending)
         wire, data = line.transport or Wire(line), reply(value)
         while data:
-            part = chance.choice([1, 2, 9, 1000, 1 << 16])
+            part = random_generator.choice([1, 2, 9, 1000, 1 << 16])
             wire.feed(data[:part])
             data = data[part:]
         assert client.take() == resp.encode_bulk(value)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -137,7 +137,8 @@
         cold.warming_requests = type("Wishes", (), {"add": lambda *_: None, "count": lambda *_: 0.0})()
         policy.key_counts.counts[0][7] = 10
         sent[parts] = sum(
-            policy.slow_start.admits(desk.proxy.now_ms(), 7, cold, policy.chance) for _ in range(20_000)
+            policy.slow_start.admits(desk.proxy.now_ms(), 7, cold, policy.random_generator)
+            for _ in range(20_000)
         )
     assert sent[1] > 200 and 0.4 < sent[2] / sent[1] < 0.6
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -61,7 +61,7 @@
             self.loop.run(ROUND)
 
 
-def test_a_proxy_begins_with_what_a_former_life_cannot_have_lent_and_has_its_own_later() -> None:
+def test_a_proxy_begins_with_what_a_former_incarnation_cannot_have_lent_and_has_its_own_later() -> None:
     desk = Lending()
     assert desk.quota() == pytest.approx(500.0 / 4 * (1.0 - LENT_OF_RATES), rel=1e-3)
     desk.loop.run(3.0 * (1.0 + MAX_CLOCK_DRIFT) ** 2 + 0.01)
@@ -156,7 +156,7 @@
     sums = QuotaSimulation(8, 1)
     told = fleet(proxies=8, tenants=[{"name": "acme", "quota": quota}])
     policies = [RoutingPolicy(told, 1, 0.0) for _ in range(8)]
-    chance, within, began = Random(3), 0, 6.0
+    random_generator, within, began = Random(3), 0, 6.0
     while sums.now < began + span:
         sums.run(sums.now + 0.005)
         here = few if sums.now < began + span / 2 else tuple((me + 3) % 8 for me in few)
@@ -164,7 +164,7 @@
         if sums.now < began:
             continue
         for _ in range(2):  # 400 a second
-            me = chance.choice(here)
+            me = random_generator.choice(here)
             policies[me].quotas.rates["acme"] = (
                 quota / 1000.0 * sums.fleet[me].instance.part(sums.fleet[me].clock(sums.now)) / UNITS
             )
@@ -175,7 +175,7 @@
 
 def test_whatever_members_say_nothing_raises_and_nothing_grows() -> None:
     """Words of the right form with any numbers in them, from members and others, in any order."""
-    desk, chance = Lending(witnesses=True), Random(5)
+    desk, random_generator = Lending(witnesses=True), Random(5)
     peers, limits = desk.proxy.gossip, desk.limits
     peers.transport = type(
         "Air", (), {"sendto": lambda self, data, place: None, "is_closing": lambda self: False}
@@ -184,29 +184,31 @@
     desk.proxy.outliers.wake()
 
     def number_of() -> int:
-        return chance.choice([0, 1, 2, 3, RATE, chance.getrandbits(4), chance.getrandbits(50)])
+        return random_generator.choice(
+            [0, 1, 2, 3, RATE, random_generator.getrandbits(4), random_generator.getrandbits(50)]
+        )
 
     for _ in range(4000):
-        kind = chance.choice(peer_messages.MESSAGE_TYPES)
+        kind = random_generator.choice(peer_messages.MESSAGE_TYPES)
         values = [
-            chance.random() < 0.5
+            random_generator.random() < 0.5
             if field is bool
             else number_of()
             if field is int
-            else tuple(number_of() for _ in range(chance.randint(0, 12)))
+            else tuple(number_of() for _ in range(random_generator.randint(0, 12)))
             for field in kind.__annotations__.values()
         ]
-        word = kind(*values)._replace(sender=chance.randint(0, 5))
-        if chance.random() < 0.3 and hasattr(word, "mark"):  # a mark that is open here
+        word = kind(*values)._replace(sender=random_generator.randint(0, 5))
+        if random_generator.random() < 0.3 and hasattr(word, "mark"):  # a mark that is open here
             marks = [
                 *peers.membership.marks,
                 *limits.leases[RATE].asked,
                 *desk.proxy.outliers.consensus.queries,
             ]
-            word = word._replace(mark=chance.choice(marks)) if marks else word
+            word = word._replace(mark=random_generator.choice(marks)) if marks else word
         peers.datagram_received(peer_messages.encode_message("shop", word), ("x", 1))
-        if chance.random() < 0.1:
-            limits.count_request(f"made up {chance.random()}")
+        if random_generator.random() < 0.1:
+            limits.count_request(f"made up {random_generator.random()}")
             desk.loop.run(0.1)
     parts = limits.leases[RATE]
     assert (
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -58,12 +58,12 @@
 class ConfusesIncarnations(Membership):
     """Holds against an incarnation what was said of a former one."""
 
-    def _record_answer(self, member: int, life: int, asked: float, by: int | None) -> None:
+    def _record_answer(self, member: int, incarnation: int, asked: float, by: int | None) -> None:
         peer = self.met[member]
-        if peer.incarnation and life != peer.incarnation:
-            life = peer.incarnation
+        if peer.incarnation and incarnation != peer.incarnation:
+            incarnation = peer.incarnation
         if peer.away_since is None:
-            super()._record_answer(member, life, asked, by)
+            super()._record_answer(member, incarnation, asked, by)
 
 
 class NeverProbesIndirectly(Membership):
@@ -215,20 +215,24 @@
     for seed in range(6):
         simulation = MembershipSimulation(10, seed, loss=0.05, double=0.1, stuck=0.05)
         simulation.run(20.0)
-        chance = Random(seed)
+        random_generator = Random(seed)
         while simulation.now < 60.0:
-            simulation.run(simulation.now + chance.uniform(0.2, 2.0))
-            what, me = chance.randrange(5), chance.randrange(10)
+            simulation.run(simulation.now + random_generator.uniform(0.2, 2.0))
+            what, me = random_generator.randrange(5), random_generator.randrange(10)
             if what == 0:
-                simulation.stop(me, chance.uniform(0.5, 9.0))
+                simulation.stop(me, random_generator.uniform(0.5, 9.0))
             elif what == 1 and me not in simulation.dead:
                 simulation.kill({me})
             elif what == 2 and simulation.dead:
                 simulation.rise(min(simulation.dead))
             elif what == 3:
-                simulation.isolate(me, chance.choice(["in", "out", "both"]), chance.uniform(1.0, 9.0))
+                simulation.isolate(
+                    me, random_generator.choice(["in", "out", "both"]), random_generator.uniform(1.0, 9.0)
+                )
             elif what == 4:
-                simulation.split(set(chance.sample(range(10), 5)), chance.uniform(1.0, 9.0))
+                simulation.split(
+                    set(random_generator.sample(range(10), 5)), random_generator.uniform(1.0, 9.0)
+                )
         simulation.run(simulation.now + 10.0)
         assert simulation.time_until_views_equal(frozenset(simulation.dead), 40.0) is not None, seed
 
@@ -240,8 +244,8 @@
     return Membership(0, 77, frozenset(range(fleet)), 0.0, Random(1))
 
 
-def deliver_answer(member: Membership, ask: MembershipProbe, of: int, life: int, now: float) -> None:
-    member.heard(now, MembershipProbe(ProbeKind.PROBE_ANSWER, of, life, ask.mark, of, 0, ()))
+def deliver_answer(member: Membership, ask: MembershipProbe, of: int, incarnation: int, now: float) -> None:
+    member.heard(now, MembershipProbe(ProbeKind.PROBE_ANSWER, of, incarnation, ask.mark, of, 0, ()))
 
 
 def test_answer_to_own_probe_counts_once_and_others_are_ignored() -> None:
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -85,7 +85,13 @@
     def __init__(
         self, made: Callable[[bool], type[RoutingPolicy]] = lambda new: RoutingPolicy, seed: int = 5
     ) -> None:
-        self.chance, self.made, self.now, self.events, self.number = Random(seed), made, 0.0, [], count()
+        self.random_generator, self.made, self.now, self.events, self.number = (
+            Random(seed),
+            made,
+            0.0,
+            [],
+            count(),
+        )
         self.boxes = {f"c{i}": Box(f"c{i}", CORES) for i in range(CACHES)} | {"o": Box("o", 4)}
         self.states = dict.fromkeys(self.boxes, "ready")
         self.record: list[tuple] = []
@@ -117,8 +123,8 @@
             router.on_endpoint_list(self.now, "delta", 2, [self.entry(name)])
 
     def arrive(self, me: int) -> None:
-        method = self.chance.choices(["read", "save", "order"], [90, 6, 4])[0]
-        key = int(self.chance.paretovariate(0.7)) % 400
+        method = self.random_generator.choices(["read", "save", "order"], [90, 6, 4])[0]
+        key = int(self.random_generator.paretovariate(0.7)) % 400
         request = Request(
             f"{next(self.number)}", method, "acme", key, method != "read", self.now, self.now + 400.0
         )
@@ -148,11 +154,11 @@
     def tick(self, router: Router, me: int) -> None:
         wait = router.tick(self.now)
         for action in router.actions:
-            if isinstance(action, SendGossip) and self.chance.random() > 0.1:
+            if isinstance(action, SendGossip) and self.random_generator.random() > 0.1:
                 data = action.message
-                if self.chance.random() <= 0.05:
-                    data = self.chance.randbytes(len(data))
-                self.at(self.now + self.chance.uniform(1.0, 20.0), self.mail, action.peer, me, data)
+                if self.random_generator.random() <= 0.05:
+                    data = self.random_generator.randbytes(len(data))
+                self.at(self.now + self.random_generator.uniform(1.0, 20.0), self.mail, action.peer, me, data)
         router.actions.clear()
         router.log_lines.clear()
         if router.waiting and self.ticks.get(id(router), 0.0) <= self.now:
@@ -181,7 +187,7 @@
                 continue  # given up while it waited
             box.busy += 1
             misses = box.name != "o" and (request.write or request.key not in box.keys)
-            work = 2.0 if misses else WORK * self.chance.uniform(0.5, 1.5)
+            work = 2.0 if misses else WORK * self.random_generator.uniform(0.5, 1.5)
             age = (self.now - box.started) / 6000.0 if box.started else 1.0
             self.at(
                 self.now + work / min(1.0, 0.2 + 0.8 * age),
@@ -228,7 +234,7 @@
         for me in range(INSTANCES):
             part = UNEVEN[me] / moved * news / INSTANCES if me < news else 1.0 / INSTANCES
             when = self.now
-            while (when := when + self.chance.expovariate(RATE * part)) < end:
+            while (when := when + self.random_generator.expovariate(RATE * part)) < end:
                 self.at(when, self.arrive, me)
         if number == 2:  # on the way one cache drains, and another begins cold
             self.at(self.now + 1000.0, self.change, "c1", "draining", 0.0)
@@ -253,14 +259,14 @@
         return self
 
     def broken(self) -> list[str]:
-        return referee(self.record, {box.name: box.started for box in self.boxes.values()})
+        return check_record(self.record, {box.name: box.started for box in self.boxes.values()})
 
     def step(self) -> None:
         self.now, _, call, values = heappop(self.events)
         call(*values)
 
 
-def referee(record: list[tuple], started: dict[str, float]) -> list[str]:
+def check_record(record: list[tuple], started: dict[str, float]) -> list[str]:
     """What the record breaks, in the rules' plainest words."""
     broken, asked, answers, out = [], {}, defaultdict(list), {}
     ran, told, cold, sends = set(), {}, defaultdict(list), defaultdict(int)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -20,15 +20,15 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_a_ring_buffer_gives_back_what_went_in(seed: int) -> None:
     """take() of more than was held once took the length below zero, and every connection with it."""
-    chance, ring, plain = Random(seed), RingBuffer(1 << 14), bytearray()
+    random_generator, ring, plain = Random(seed), RingBuffer(1 << 14), bytearray()
     for _ in range(3000):
-        data = chance.randbytes(chance.choice([1, 3, 200, 3000]))
+        data = random_generator.randbytes(random_generator.choice([1, 3, 200, 3000]))
         if len(plain) + len(data) <= 1 << 13:
             ring.write(data)
             plain += data
-        byte, skip = chance.randrange(256), chance.randrange(len(plain) + 1)
+        byte, skip = random_generator.randrange(256), random_generator.randrange(len(plain) + 1)
         assert ring.find(byte, skip) == plain.find(byte, skip)
-        count = chance.choice([0, 1, 50, 5000])
+        count = random_generator.choice([0, 1, 50, 5000])
         assert ring.take(count) == plain[:count]
         del plain[:count]
         assert len(ring) == len(plain)
@@ -38,15 +38,17 @@
     assert len(ring.memory) == MIN_CAPACITY_BYTES
 
 
-def generated(chance: Random, depth: int = 0) -> tuple[object, bytes]:
-    kind = chance.choice(["bulk", "bulk", "null", "word", "fault", "number"] + ["array"] * (depth < 3))
+def generated(random_generator: Random, depth: int = 0) -> tuple[object, bytes]:
+    kind = random_generator.choice(
+        ["bulk", "bulk", "null", "word", "fault", "number"] + ["array"] * (depth < 3)
+    )
     if kind == "bulk":
-        value = chance.randbytes(chance.choice([0, 1, 7, 20, 300] * 4 + [1 << 16]))
+        value = random_generator.randbytes(random_generator.choice([0, 1, 7, 20, 300] * 4 + [1 << 16]))
         return value, resp.encode_bulk(value)
     if kind == "array":
-        members = [generated(chance, depth + 1) for _ in range(chance.randrange(4))]
+        members = [generated(random_generator, depth + 1) for _ in range(random_generator.randrange(4))]
         return [value for value, _ in members], b"*%d\r\n%b" % (len(members), b"".join(m for _, m in members))
-    number = chance.randrange(-(10**9), 10**9)
+    number = random_generator.randrange(-(10**9), 10**9)
     return {
         "null": (None, b"$-1\r\n"),
         "word": (resp.SimpleString(b"OK"), b"+OK\r\n"),
@@ -55,11 +57,11 @@
     }[kind]
 
 
-def parsed(parser: CommandParser, data: bytes, chance: Random) -> list[object]:
+def parsed(parser: CommandParser, data: bytes, random_generator: Random) -> list[object]:
     out = []
     while data:
         room = parser.ring.free_space()
-        part = min(len(room), len(data), chance.choice([1, 2, 9, 1000, 1 << 17]))
+        part = min(len(room), len(data), random_generator.choice([1, 2, 9, 1000, 1 << 17]))
         room[:part] = data[:part]
         parser.ring.commit(part)
         data = data[part:]
@@ -70,9 +72,9 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_values_cut_anywhere_are_read_whole(seed: int) -> None:
-    chance = Random(seed)
-    pairs = [generated(chance) for _ in range(60)]
-    found = parsed(CommandParser(RingBuffer()), b"".join(data for _, data in pairs), chance)
+    random_generator = Random(seed)
+    pairs = [generated(random_generator) for _ in range(60)]
+    found = parsed(CommandParser(RingBuffer()), b"".join(data for _, data in pairs), random_generator)
     assert found == [value for value, _ in pairs]
     assert [type(value) for value in found] == [type(value) for value, _ in pairs]
 
@@ -104,13 +106,13 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_noise_is_never_more_than_broken(seed: int) -> None:
-    chance = Random(seed)
-    data = bytearray(b"".join(generated(chance)[1] for _ in range(20)))
+    random_generator = Random(seed)
+    data = bytearray(b"".join(generated(random_generator)[1] for _ in range(20)))
     for _ in range(5):
-        data[chance.randrange(len(data))] = chance.choice(b"*$+-:\r\n059x")
+        data[random_generator.randrange(len(data))] = random_generator.choice(b"*$+-:\r\n059x")
     parser = CommandParser(RingBuffer())
     try:
-        parsed(parser, bytes(data), chance)
+        parsed(parser, bytes(data), random_generator)
     except resp.ProtocolError:
         return
     assert len(parser.ring) <= len(data)
@@ -176,10 +178,10 @@
 )
 
 
-def chunked(data: bytes, chance: Random) -> bytes:
+def chunked(data: bytes, random_generator: Random) -> bytes:
     out = b""
     while data:
-        part = chance.choice([1, 5, 40, 300])
+        part = random_generator.choice([1, 5, 40, 300])
         out += b"%x\r\n%b\r\n" % (len(data[:part]), data[:part])
         data = data[part:]
     return out
@@ -203,13 +205,15 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_watch_is_read_in_chunks_cut_anywhere(seed: int) -> None:
-    chance = Random(seed)
+    random_generator = Random(seed)
     _, discovery, told, wire = watching()
     assert wire.take().startswith(b"GET /api/targets?follow=1&since=41 HTTP/1.1\r\nHost: 10.2.0.1:8500\r\n")
     data = HEAD
-    data += chunked(b"".join(LINE % (i + 42) + b"\n" * chance.randrange(3) for i in range(20)), chance)
+    data += chunked(
+        b"".join(LINE % (i + 42) + b"\n" * random_generator.randrange(3) for i in range(20)), random_generator
+    )
     while data:
-        part = chance.choice([1, 10, 500])
+        part = random_generator.choice([1, 10, 500])
         wire.feed(data[:part])
         data = data[part:]
     assert [index for _, index, _, _ in told] == list(range(42, 62)) and discovery.version == 61
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -125,7 +125,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_figures_agree_with_an_independent_count(seed: int) -> None:
     """Clients leave, caches answer, turn away, break, and take half of what is written to them."""
-    chance, desk = Random(seed), Desk(caches=4)
+    random_generator, desk = Random(seed), Desk(caches=4)
     clients, lines, seen, left = [desk.client() for _ in range(12)], [], Counter(), 0
 
     def whole(line: Wire) -> int:
@@ -144,23 +144,25 @@
     for _ in range(1500):
         while len(lines) < len(desk.loop.opened):
             stream = desk.loop.opened[len(lines)][0]
-            room = chance.choice([None, None, 30_000])
+            room = random_generator.choice([None, None, 30_000])
             lines.append(None if stream.closed else desk.line(len(lines), room))
         for line in [line for line in lines[-40:] if line is not None and line.open and line.stream.pending]:
             if line.room is not None and len(line.sent) > line.room:
-                if chance.random() < 0.3:
+                if random_generator.random() < 0.3:
                     line.room = None
                     line.stream.resume_writing()
-            elif chance.random() < 0.3:
-                line.feed(chance.choice([reply(), reply(), b"-BUSY\r\n", b"-ERR failed\r\n", b"?\r\n"]))
-            elif chance.random() < 0.05:
+            elif random_generator.random() < 0.3:
+                line.feed(
+                    random_generator.choice([reply(), reply(), b"-BUSY\r\n", b"-ERR failed\r\n", b"?\r\n"])
+                )
+            elif random_generator.random() < 0.05:
                 line.abort()
-        client = chance.choice(clients)
+        client = random_generator.choice(clients)
         if client.open and not client.stream.replies and not client.sent:
-            client.method = chance.choice(["read", "save", "order"])
-            patience = str(chance.randrange(50, 900))
-            client.feed(ask(client.method, chance.randrange(9), patience, bytes(50_000)))
-        elif chance.random() < 0.03 and client.stream.replies:
+            client.method = random_generator.choice(["read", "save", "order"])
+            patience = str(random_generator.randrange(50, 900))
+            client.feed(ask(client.method, random_generator.randrange(9), patience, bytes(50_000)))
+        elif random_generator.random() < 0.03 and client.stream.replies:
             clients[clients.index(client)] = desk.client()
             client.abort()
             left += 1
--- a/tests/test_outlier_consensus.py
+++ b/tests/test_outlier_consensus.py
@@ -565,20 +565,20 @@
 
 def decisions_of(desk: Desk, witnesses: Any) -> list[str | None]:
     """Decisions of the router for the same requests, answers, timeouts and a failing endpoint."""
-    router, chance, out = desk.proxy.router, Random(4), []
+    router, random_generator, out = desk.proxy.router, Random(4), []
     if desk.proxy.quotas is not None:  # its life is older than what a former one may have lent
         desk.loop.run(4.0)
         desk.proxy.quotas.refresh()
     began = desk.proxy.now_ms()
     for step in range(400):
         now = began + step * 40.0
-        rpc = rpc_for("read", chance.randrange(30), now, now + 900.0, "acme")
+        rpc = rpc_for("read", random_generator.randrange(30), now, now + 900.0, "acme")
         cache = router.route(now, rpc)
         out.append(cache)
         if cache is None:
             continue
-        ill = cache == "c2" and step > 150 and chance.random() < 0.8
-        took = 300.0 if ill else chance.uniform(2.0, 9.0)
+        ill = cache == "c2" and step > 150 and random_generator.random() < 0.8
+        took = 300.0 if ill else random_generator.uniform(2.0, 9.0)
         if witnesses is not None:
             witnesses.on_result(cache, rpc_for("read"), "timeout" if ill else "completed", took, 10)
             witnesses.timer and witnesses.timer.cancel()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -116,15 +116,15 @@
 
 def together(proxies: int, caches: int, old: int, keys: list[int]) -> list[tuple[float, str]]:
     """What many instances send, each alone; then all caches but the old are new, twice the traffic."""
-    names, sends, chance = [f"c{i}" for i in range(caches)], [], Random(5)
+    names, sends, random_generator = [f"c{i}" for i in range(caches)], [], Random(5)
     fleet_of = [RoutingPolicy(fleet(proxies=proxies), seed, 0.0) for seed in range(proxies)]
     for now in [*range(0, 20_000, 10), *range(20_000, 26_000, 5)]:
         if now in (0, 20_000):
             entries = [(c, "z", "box", 0, "ready", None, float(now) * (c not in names[:old])) for c in names]
             for policy in fleet_of:
                 policy.on_endpoint_list(now, "full", 1, entries)
-        policy = chance.choice(fleet_of)
-        request = rpc_for("read", chance.choice(keys), now, now + 900.0)
+        policy = random_generator.choice(fleet_of)
+        request = rpc_for("read", random_generator.choice(keys), now, now + 900.0)
         if isinstance(send(policy, now, request), Forward):
             request.attempts[0].outcome, request.finished = "completed", True
             sends.append((now, request.attempts[0].endpoint))
@@ -191,12 +191,12 @@
 
 def test_limit_update_with_low_use_does_not_grow_without_bound() -> None:
     """What was left unused looked like a want of room beside the grown limit: it grew to 1e35."""
-    limit, chance = ConcurrencyLimit(0.0, 98, 8), Random(1)
+    limit, random_generator = ConcurrencyLimit(0.0, 98, 8), Random(1)
     limit.value, limit.tolerance, limit.spare = 3.0, 2.5, 100.0
     for now in range(0, 60_000, 250):
         limit.latencies.add(now, 0.8)
         limit.latencies.add(now, 0.8)
-        if limit.request_capacity(now, chance.choice([0.75, 1.0])):
+        if limit.request_capacity(now, random_generator.choice([0.75, 1.0])):
             limit.acquire(now, 1.0)
             limit.acquire(now + 60.0, -1.0)
         limit.update(now)
@@ -351,12 +351,12 @@
 def test_limit_below_one_holds_for_the_mean() -> None:
     """Floors of one request a proxy added up over hundreds of proxies, and limited nothing."""
     limit, held, going = ConcurrencyLimit(0.0, 300, 8), 0.0, []
-    limit.value, chance = 0.2, Random(3)
+    limit.value, random_generator = 0.2, Random(3)
     for now in range(0, 60_000, 10):
         for end in [end for end in going if end <= now]:
             going.remove(end)
             limit.acquire(now, -1.0)
-        if chance.random() < 0.1 and limit.request_capacity(now, 1.0):
+        if random_generator.random() < 0.1 and limit.request_capacity(now, 1.0):
             limit.acquire(now, 1.0)
             going.append(now + 100)
         held += len(going) * 10
@@ -426,7 +426,7 @@
             going.remove((end, request, outcome))
             request.attempts[0].outcome, request.finished = outcome, True
             policy.on_attempt_result(now, request, 0, now - request.arrived_at, "hit", None)
-        request = rpc_for("read", policy.chance.randrange(60), now, now + 400.0)
+        request = rpc_for("read", policy.random_generator.randrange(60), now, now + 400.0)
         if isinstance(send(policy, now, request), Forward):
             name = request.attempts[0].endpoint
             sends[name] = sends.get(name, 0) + 1
@@ -439,14 +439,14 @@
 def busy() -> RoutingPolicy:
     policy = RoutingPolicy(fleet(proxies=2), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(10)])
-    dense(policy, 0.0, 6000.0, lambda name: policy.chance.expovariate(1 / 20))
+    dense(policy, 0.0, 6000.0, lambda name: policy.random_generator.expovariate(1 / 20))
     return policy
 
 
 def test_single_slow_answers_in_dense_traffic_eject_no_endpoint() -> None:
     """One answer in fifty of a healthy cache takes four times the usual: all were ejected now and then."""
     policy = busy()
-    dense(policy, 6000.0, 20_000.0, lambda name: policy.chance.expovariate(1 / 20))
+    dense(policy, 6000.0, 20_000.0, lambda name: policy.random_generator.expovariate(1 / 20))
     assert not any(cache.ejected for cache in policy.endpoints.caches.values())
 
 
@@ -454,12 +454,20 @@
     """Single quick answers doubled a slow cache's part as often as slow ones halved it."""
     policy = busy()
     slow = "c3"
-    dense(policy, 6000.0, 2000.0, lambda name: policy.chance.expovariate(1 / (80 if name == slow else 20)))
+    dense(
+        policy,
+        6000.0,
+        2000.0,
+        lambda name: policy.random_generator.expovariate(1 / (80 if name == slow else 20)),
+    )
     sends = dense(
-        policy, 8000.0, 8000.0, lambda name: policy.chance.expovariate(1 / (80 if name == slow else 20))
+        policy,
+        8000.0,
+        8000.0,
+        lambda name: policy.random_generator.expovariate(1 / (80 if name == slow else 20)),
     )
     assert sends.get(slow, 0) < 0.01 * sum(sends.values())
-    sends = dense(policy, 16_000.0, 20_000.0, lambda name: policy.chance.expovariate(1 / 20))
+    sends = dense(policy, 16_000.0, 20_000.0, lambda name: policy.random_generator.expovariate(1 / 20))
     assert policy.endpoints.caches[slow].admitted_fraction >= 1.0
     assert sends[slow] > 0.03 * sum(sends.values())
 
@@ -475,7 +483,7 @@
             2000.0 if start < 7000.0 else 8000.0,
             lambda name: None
             if name == "c3"
-            else policy.chance.expovariate(1 / (140 if name in slow else 20)),
+            else policy.random_generator.expovariate(1 / (140 if name in slow else 20)),
         )
     assert sends.get("c3", 0) < 0.01 * sum(sends.values())
 
@@ -486,10 +494,10 @@
     cache = policy.endpoints.caches["c3"]
     policy.latency.fetch_ms, policy.settings.latency_objective_ms = 60.0, 130.0
     cache.held, cache.last_heard_at, cache.admitted_fraction = 1, 10_000.0, 1.0
-    assert policy.outliers.admits(10_300.0, cache, policy.chance)
+    assert policy.outliers.admits(10_300.0, cache, policy.random_generator)
     assert not cache.ejected
     cache.held = 5
-    policy.outliers.admits(10_300.0, cache, policy.chance)
+    policy.outliers.admits(10_300.0, cache, policy.random_generator)
     assert cache.ejected
 
 
@@ -555,7 +563,7 @@
         request = rpc_for("read", tick % 60, now, now + 900.0, "a")
         decision = send(policy, now, request)
         if isinstance(decision, Forward):
-            going.append((now + 60.0 + policy.chance.expovariate(1 / 60), request))
+            going.append((now + 60.0 + policy.random_generator.expovariate(1 / 60), request))
         exhausted += isinstance(decision, Reject) and now > 7000.0
         policy.next_wakeup(now)
     assert exhausted < 40
@@ -595,13 +603,13 @@
     policy, served, asked = busy(), 0, 0
     for now in range(6000, 26_000, 4):
         request, ends, good = (
-            rpc_for("read", policy.chance.randrange(60), now, now + 400.0),
+            rpc_for("read", policy.random_generator.randrange(60), now, now + 400.0),
             float(now),
             False,
         )
         decision = send(policy, now, request)
         while decision and isinstance(decision, Forward):
-            failed = decision.endpoint in ("c1", "c3", "c5", "c7") and policy.chance.random() < 0.5
+            failed = decision.endpoint in ("c1", "c3", "c5", "c7") and policy.random_generator.random() < 0.5
             request.attempts[-1].outcome = "error" if failed else "completed"
             request.finished = good = not failed
             ends += 15.0
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -726,40 +726,50 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_every_rpc_has_one_answer_on_generated_days(seed: int) -> None:
     """Caches answer, turn away, break, say nothing, leave the list; clients leave; nothing is lost."""
-    chance, desk = Random(seed), Desk(caches=4)
+    random_generator, desk = Random(seed), Desk(caches=4)
     clients, lines, asked = [desk.client() for _ in range(12)], [], 0
     for step in range(2500):
         while len(lines) < len(desk.loop.opened):
             stream = desk.loop.opened[len(lines)][0]
-            if stream.closed or chance.random() < 0.05:
+            if stream.closed or random_generator.random() < 0.05:
                 stream.abort()
                 lines.append(None)
             else:
                 lines.append(desk.line(len(lines)))
         for line in [line for line in lines[-40:] if line is not None and line.open and line.stream.pending]:
-            what = chance.random()
+            what = random_generator.random()
             if what < 0.3:
-                line.feed(reply(b"x" * chance.randrange(2000), chance.choice([b"hit", b"miss", None])))
+                line.feed(
+                    reply(
+                        b"x" * random_generator.randrange(2000),
+                        random_generator.choice([b"hit", b"miss", None]),
+                    )
+                )
             elif what < 0.36:
-                line.feed(chance.choice([b"-BUSY\r\n", b"-ERR failed\r\n", b"?\r\n"]))
+                line.feed(random_generator.choice([b"-BUSY\r\n", b"-ERR failed\r\n", b"?\r\n"]))
             elif what < 0.38:
                 line.abort()
-        client = chance.choice(clients)
+        client = random_generator.choice(clients)
         if client.open and not client.stream.replies:
             client.take()
             client.feed(
                 ask(
-                    chance.choice(["read", "read", "save", "order"]),
-                    chance.randrange(9),
-                    str(chance.randrange(50, 900)),
+                    random_generator.choice(["read", "read", "save", "order"]),
+                    random_generator.randrange(9),
+                    str(random_generator.randrange(50, 900)),
                 )
             )
             asked += 1
-        elif chance.random() < 0.02:
+        elif random_generator.random() < 0.02:
             clients[clients.index(client)] = desk.client()
             client.abort()
         if step % 200 == 0:
-            desk.list(endpoint(f"c{chance.randrange(1, 5)}", chance.choice(["SERVING"] * 2 + ["DRAINING"])))
+            desk.list(
+                endpoint(
+                    f"c{random_generator.randrange(1, 5)}",
+                    random_generator.choice(["SERVING"] * 2 + ["DRAINING"]),
+                )
+            )
         desk.loop.run(0.01)
         late = [
             call
@@ -775,7 +785,7 @@
 
 def test_same_inputs_give_the_simulators_decisions() -> None:
     """The adapter and the proxy's facade, given the same settings, seed, list and keys, send alike."""
-    chance, out, said = Random(5), [], []
+    random_generator, out, said = Random(5), [], []
     wired = host.Proxy(0, parse_seed("8c1f30d27a5be964"), SETTINGS, 0.0, out)
     wired.registry(0.0, 2, 1, [[f"c{i}", "a", "box", 0, 2, 1.0 + i % 2, 0] for i in range(6)])
     plain = Router(normalize_settings(json.loads(json.dumps(SETTINGS))), parse_seed("8c1f30d27a5be964"), 0.0)
@@ -785,13 +795,17 @@
     def act(rpc: Request, cache: str | None) -> None:
         if cache is not None:
             said.append(["PassOn", rpc.id, cache])
-            going.append((now + chance.uniform(5.0, 400.0), rpc))
+            going.append((now + random_generator.uniform(5.0, 400.0), rpc))
         elif rpc.answer in ("exhausted", "errored"):
             said.append(["NotNow" if rpc.answer == "exhausted" else "Surrender", rpc.id])
 
     going: list[tuple] = []
     for number in range(2000):
-        now, key, method = number * 5.0, chance.randrange(40), chance.choice(["read", "save"])
+        now, key, method = (
+            number * 5.0,
+            random_generator.randrange(40),
+            random_generator.choice(["read", "save"]),
+        )
         pairs = f"c={method},t=acme,d=700,k=5c0f".encode()
         fields = parse_request_fields(
             [b"C.GET", b"%x" % key, b"1", pairs], plain.policy.settings.methods, {"acme"}
@@ -802,7 +816,7 @@
         wired.knock(now, rpc.id, method, round(until * 1e6), 4 * write, "acme", None, None, key)
         for due in [due for due in going if due[0] <= now]:
             going.remove(due)
-            rc, outcome = chance.choice([(0, "completed")] * 9 + [(13, "error"), (8, "full")])
+            rc, outcome = random_generator.choice([(0, "completed")] * 9 + [(13, "error"), (8, "full")])
             attempt = len(due[1].attempts) - 1
             wired.reply(
                 now, due[1].id, attempt, due[1].attempts[-1].endpoint, rc, 40_000_000, rc == 0, 1, None
--- a/tests/test_quota_leases.py
+++ b/tests/test_quota_leases.py
@@ -233,8 +233,8 @@
     for me, wants, later, what in steps:
         now += later
         if what == "restart":
-            life = 100 + round(now * 1000) * 3 + me
-            fleet[me] = QuotaLeases(0, me, life, 3, now, LEASE, 0.0, Random(life))
+            incarnation = 100 + round(now * 1000) * 3 + me
+            fleet[me] = QuotaLeases(0, me, incarnation, 3, now, LEASE, 0.0, Random(incarnation))
         fleet[me].want(wants * UNITS // 2)
         air += fleet[me].wake(now, [0, 1, 2])[0]
         if air and what != "want":
@@ -267,9 +267,11 @@
 @pytest.mark.parametrize(("fleet", "few", "most"), [(8, 1, 0.07), (24, 3, 0.06), (24, 24, 0.06)])
 def test_rate_units_with_uneven_demand_are_mostly_used(fleet: int, few: int, most: float) -> None:
     """Few proxies have demand for five times the rate; or all, unevenly, for a fifth more than the rate."""
-    simulation, chance = QuotaSimulation(fleet, 1, RateQuotaLeases), Random(2)
+    simulation, random_generator = QuotaSimulation(fleet, 1, RateQuotaLeases), Random(2)
     simulation.run(7.0)
-    weights = [chance.paretovariate(1.1) if few == fleet or me < few else 0.0 for me in range(fleet)]
+    weights = [
+        random_generator.paretovariate(1.1) if few == fleet or me < few else 0.0 for me in range(fleet)
+    ]
     times = 1.2 if few == fleet else 5.0
     simulation.wants = [int(times * UNITS * weight / sum(weights)) for weight in weights]
     simulation.run(simulation.now + 4.0)
--- a/tests/test_rate_slots.py
+++ b/tests/test_rate_slots.py
@@ -209,23 +209,23 @@
 
 
 def test_in_flight_requests_never_exceed_quota_and_on_average_for_quota_under_one() -> None:
-    chance = Random(4)
-    flights, out = InFlightQuota(3.9, chance), []
+    random_generator = Random(4)
+    flights, out = InFlightQuota(3.9, random_generator), []
     for step in range(3000):
         now = step * 0.01
         out = [end for end in out if end > now or flights.end(now, "c1")]
         while flights.begin(now, "c1"):
-            out.append(now + chance.uniform(0.01, 0.5))
+            out.append(now + random_generator.uniform(0.01, 0.5))
         assert len(out) == 3 == flights.most()
     assert flights.wanted(30.0) > 3.9
-    few, held, ends = InFlightQuota(0.2, chance), 0.0, 0.0
+    few, held, ends = InFlightQuota(0.2, random_generator), 0.0, 0.0
     for step in range(6000):
         now = step * 0.01
         if ends and now >= ends:
             few.end(now, "c1")
             ends = 0.0
         if not ends and few.begin(now, "c1"):
-            ends = now + chance.uniform(0.01, 0.2)
+            ends = now + random_generator.uniform(0.01, 0.2)
         held += 0.01 * bool(ends)
     assert 0.15 * 60.0 <= held <= 0.2 * (60.0 + MAX_CREDIT_S) + 0.2
 
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -107,7 +107,7 @@
         zones=2,
         make=lambda settings, seed, now: RecordingInMemory(settings, seed, now, naming),
     )
-    chance = Random(seed)
+    random_generator = Random(seed)
 
     def set_state(number: int, state: str) -> None:
         old = simulation.entries[number]
@@ -123,7 +123,7 @@
     simulation.at(4000.0, lambda: setattr(simulation, "per_s", 900.0))
     simulation.at(6000.0, lambda: setattr(simulation, "per_s", 200.0))
     simulation.at(3000.0, lambda: setattr(caches[6], "slow", 12.0))
-    simulation.at(5000.0, simulation.renew, chance.randrange(4))
+    simulation.at(5000.0, simulation.renew, random_generator.randrange(4))
     simulation.run(seconds * 1000.0)
     for router in RecordingInMemory.made:
         router.write_segments(simulation.now)
@@ -171,7 +171,7 @@
     other = Router(fleet(proxies=4), 8, 5.0)
     state_codec.restore_state(other, state)
     assert vars(other.policy).keys() == vars(router.policy).keys()
-    assert other.policy.chance.random() == router.policy.chance.random()
+    assert other.policy.random_generator.random() == router.policy.random_generator.random()
     assert other.policy.endpoints.caches["c1"] is other.policy.placement.usable[0][2]
     assert other.on_endpoint_list == other.policy.on_endpoint_list
     router.policy.later = object()
@@ -615,8 +615,8 @@
     loop = Desk().loop
     settings = record_settings.RecordSettings(folder=str(tmp_path), segment_mb=0.001, keep_mb=0.002)
     recorder = Recorder(loop, settings, "n/1", "life", time.time)
-    chance = Random(1)
-    content = frames.encode_json([chance.random() for _ in range(60)])
+    random_generator = Random(1)
+    content = frames.encode_json([random_generator.random() for _ in range(60)])
     (tmp_path / "n%2F1.x.other.life.000000.record").write_bytes(b"x" * 9000)  # another proxy's
     for _ in range(9):
         recorder.pending.extend([BeginSegment(content), AppendFrame(content), EndSegment()])
--- a/tests/test_replace.py
+++ b/tests/test_replace.py
@@ -106,7 +106,7 @@
         self.marks: list[bytes] = []
         self.turned_back: list[bytes] = []
 
-    async def client(self, chance: Random) -> None:
+    async def client(self, random_generator: Random) -> None:
         link = None
         while not self.stopped:
             if link is not None and link[0].at_eof():  # it sees the close, and repeats nothing
@@ -118,9 +118,9 @@
                 self.answers["refused"] += 1
                 await asyncio.sleep(0.02)
                 continue
-            number, key = b"%016x" % next(self.numbers), b"%016x" % chance.randrange(50)
+            number, key = b"%016x" % next(self.numbers), b"%016x" % random_generator.randrange(50)
             parts = [b"C.GET", key, number, b"c=read,t=acme,d=2000"]
-            if chance.random() < 0.3:
+            if random_generator.random() < 0.3:
                 parts = [b"C.SET", key, number, b"c=save,t=acme,d=2000,k=%b" % number, b"new"]
             data = b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
             try:
@@ -142,7 +142,7 @@
                 self.answers["closed"] += 1
                 self.turned_back.append(number)
                 link = None
-            await asyncio.sleep(chance.uniform(0.0, 0.04))
+            await asyncio.sleep(random_generator.uniform(0.0, 0.04))
         if link is not None:
             link[1].close()
 
--- a/tests/test_routing_components.py
+++ b/tests/test_routing_components.py
@@ -79,12 +79,12 @@
 
 
 def test_list_polling_after_failures_backs_off_and_logs_once() -> None:
-    outbox, chance = Outbox(), Random(1)
+    outbox, random_generator = Outbox(), Random(1)
     polling = ListPolling(0.0, True, outbox)
 
     waits = []
     for _ in range(6):
-        polling.on_failure(0.0, chance)
+        polling.on_failure(0.0, random_generator)
         waits.append(polling.wait_ms(0.0))
 
     for wait, backoff in zip(waits, (250.0, 500.0, 1000.0, 2000.0, 4000.0, 4000.0), strict=True):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -106,24 +106,24 @@
 
 @pytest.mark.parametrize("seed", range(24))
 def test_decisions_on_generated_days_keep_the_rules(seed: int) -> None:
-    chance = Random(seed)
-    deployment = fleet(aside=seed % 2 == 0, proxies=chance.choice([1, 3]))
-    deployment["methods"][1]["group"] = chance.choice(["all", "cell"])
-    deployment["methods"][1]["window"] = chance.choice([300.0, 5000.0])
-    deployment["discovery"] = chance.choice(["push", "ask"])
+    random_generator = Random(seed)
+    deployment = fleet(aside=seed % 2 == 0, proxies=random_generator.choice([1, 3]))
+    deployment["methods"][1]["group"] = random_generator.choice(["all", "cell"])
+    deployment["methods"][1]["window"] = random_generator.choice([300.0, 5000.0])
+    deployment["discovery"] = random_generator.choice(["push", "ask"])
     deployment["caps"]["peer_messages"] = seed % 4 < 2
     deployment["rules"]["draining_alone"] = seed % 5 == 0
     if seed % 3:  # a retry budget, small enough to bind
         deployment["rules"] |= {
-            "retry_span": chance.choice([500.0, 1000.0, 5000.0]),
-            "retry_spare": chance.choice([0, 1, 5]),
-            "retry_ratio": chance.choice([0.0, 0.03, 0.1]),
+            "retry_span": random_generator.choice([500.0, 1000.0, 5000.0]),
+            "retry_spare": random_generator.choice([0, 1, 5]),
+            "retry_ratio": random_generator.choice([0.0, 0.03, 0.1]),
         }
-    deployment["rules"]["clock_error"] = chance.choice([None, 100.0])
-    deployment["caps"]["buffers"] = chance.choice([None, 4])
+    deployment["rules"]["clock_error"] = random_generator.choice([None, 100.0])
+    deployment["caps"]["buffers"] = random_generator.choice([None, 4])
     for method in deployment["methods"]:
-        method["zones_open"] = chance.choice([None, ["y"]])
-        method["kinds_open"] = chance.choice([None, ["box"]])
+        method["zones_open"] = random_generator.choice([None, ["y"]])
+        method["kinds_open"] = random_generator.choice([None, ["box"]])
     policy, watch = RoutingPolicy(deployment, seed, 0.0), Watch(deployment)
     names, hand, pending, due, version, now = [f"c{i}" for i in range(6)], {}, [], [], 0, 0.0
 
@@ -134,9 +134,9 @@
                 "yz"[int(n[1:]) % 2],
                 "box" if int(n[1:]) % 3 else "tub",
                 int(n[1:]) % 2,
-                chance.choice(["ready"] * 4 + ["draining", "gone"]),
-                chance.choice([None, 2.0]),
-                chance.choice([0.0, now]),
+                random_generator.choice(["ready"] * 4 + ["draining", "gone"]),
+                random_generator.choice([None, 2.0]),
+                random_generator.choice([0.0, now]),
             )
             for n in some
         ]
@@ -149,7 +149,7 @@
         if isinstance(decision, Forward):
             assert watch.may_send(now, request, decision.endpoint)
             watch.sent(now, request, decision.endpoint)
-            pending.append((now + chance.expovariate(1 / 150), request, len(request.attempts) - 1))
+            pending.append((now + random_generator.expovariate(1 / 150), request, len(request.attempts) - 1))
         elif isinstance(decision, Wait):
             assert now + decision.delay_ms < request.expires_at
             due.append((now + decision.delay_ms, request))
@@ -160,17 +160,21 @@
 
     while now < 20_000.0:
         now += 5.0
-        if chance.random() < 0.01 or now == 5.0:
+        if random_generator.random() < 0.01 or now == 5.0:
             version += 1
-            kind = "cached" if now == 5.0 else chance.choice(["delta", "full", "failed"])
-            news = [] if kind == "failed" else entries(chance.sample(names, 2) if kind == "delta" else names)
+            kind = "cached" if now == 5.0 else random_generator.choice(["delta", "full", "failed"])
+            news = (
+                []
+                if kind == "failed"
+                else entries(random_generator.sample(names, 2) if kind == "delta" else names)
+            )
             if kind == "full":
                 watch.listed(now, [(n, *watch.where[n], 0, "gone", None, 0.0) for n in watch.named - {"o"}])
             watch.listed(now, news)
             policy.on_endpoint_list(now, kind, version, news)
         for at, request, number in [p for p in pending if p[0] <= now or p[1].expires_at <= now]:
             pending.remove((at, request, number))
-            outcome = "timeout" if request.expires_at <= now else chance.choice(OUTCOMES)
+            outcome = "timeout" if request.expires_at <= now else random_generator.choice(OUTCOMES)
             watch.history[request.id][number][2] = request.attempts[number].outcome = outcome
             watch.grants[request.id] = watch.grants.get(request.id, 0) + (outcome == "missed")
             if outcome == "completed" and not request.finished:
@@ -183,15 +187,15 @@
                     request,
                     number,
                     now - request.attempts[number].sent_at,
-                    chance.choice([None, "hit", "fetched", "fetching"]),
-                    chance.choice(
+                    random_generator.choice([None, "hit", "fetched", "fetching"]),
+                    random_generator.choice(
                         [
                             None,
                             {},
                             "mangled",
                             {"served_ps": 0.0, "pending": 9.0},
                             {"served_ps": 5.0, "pending": -3.0},
-                            {"served_ps": 40.0, "pending": chance.uniform(0.0, 60.0)},
+                            {"served_ps": 40.0, "pending": random_generator.uniform(0.0, 60.0)},
                         ]
                     ),
                 ),
@@ -200,22 +204,28 @@
             due.remove((at, request))
             if not request.finished:
                 act(request, policy.decide(now, request))
-        if chance.random() < 0.1:  # from peers there or gone; true, old, doubled, mangled
+        if random_generator.random() < 0.1:  # from peers there or gone; true, old, doubled, mangled
             marks = [
-                (hash_point(name.encode()) & 0xFFFFFF, chance.uniform(0.0, 2000.0)) for name in [*names, "x9"]
+                (hash_point(name.encode()) & 0xFFFFFF, random_generator.uniform(0.0, 2000.0))
+                for name in [*names, "x9"]
             ]
-            memo = encode_hint(chance.randrange(100_000), marks)
-            if chance.random() < 0.3:
-                memo = chance.choice([memo[:-1], memo + b"x", chance.randbytes(len(memo)), b""])
-            for _ in range(chance.choice([1, 1, 2])):
-                policy.on_gossip(now, chance.randrange(9), memo)
-        for request in [r for r in hand.values() if not r.finished and chance.random() < 0.0005]:
+            memo = encode_hint(random_generator.randrange(100_000), marks)
+            if random_generator.random() < 0.3:
+                memo = random_generator.choice(
+                    [memo[:-1], memo + b"x", random_generator.randbytes(len(memo)), b""]
+                )
+            for _ in range(random_generator.choice([1, 1, 2])):
+                policy.on_gossip(now, random_generator.randrange(9), memo)
+        for request in [r for r in hand.values() if not r.finished and random_generator.random() < 0.0005]:
             request.finished = True  # the client leaves; its outcomes still come
             watch.answered.add(request.id)
             policy.on_client_disconnected(now, request)
-        if chance.random() < 0.3:
-            method, key = chance.choice(["read", "read", "save", "order"]), chance.choice([None, 1, 2, 3])
-            request = rpc_for(method, key, now, now + chance.uniform(20.0, 1500.0))
+        if random_generator.random() < 0.3:
+            method, key = (
+                random_generator.choice(["read", "read", "save", "order"]),
+                random_generator.choice([None, 1, 2, 3]),
+            )
+            request = rpc_for(method, key, now, now + random_generator.uniform(20.0, 1500.0))
             hand[request.id] = request
             watch.taken.append(now)
             act(request, policy.decide(now, request))
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -55,7 +55,7 @@
     return scenario.parse_scenario(SMALL | changes, "small")
 
 
-def test_the_end_of_a_life_is_recorded_before_the_next_begins(tmp_path: Path) -> None:
+def test_the_end_of_an_incarnation_is_recorded_before_the_next_begins(tmp_path: Path) -> None:
     """The system told of it later than the next start: a restart passed for a crash."""
 
     async def restart() -> list[str]:
@@ -67,14 +67,14 @@
         )  # later than the process has ended
 
         async def launch(_number: int) -> None:
-            stage.records.lives.append(ProcessEvent(loop.time(), "p0", "launched"))
+            stage.records.process_events.append(ProcessEvent(loop.time(), "p0", "launched"))
 
         stage.launch, stage.processes["p0"] = launch, subprocess.Popen(["sleep", "60"])
         stage.watch("p0", stage.processes["p0"])
         await stage.again("p0", False)
         loop.add_reader = watch
         await asyncio.sleep(0.4)
-        return [life.what for life in stage.records.lives]
+        return [process_event.what for process_event in stage.records.process_events]
 
     assert asyncio.run(restart()) == ["killed", "exited", "launched"]
 
@@ -97,7 +97,7 @@
         ({"cache": {"connections": 2}}, "cache.connections"),
     ],
 )
-def test_a_wrong_drill_is_one_line_and_nothing_starts(changes: dict, field: str, tmp_path: Path) -> None:
+def test_a_wrong_scenario_is_one_line_and_nothing_starts(changes: dict, field: str, tmp_path: Path) -> None:
     def toml(value: object) -> str:
         if isinstance(value, dict):
             return "{" + ", ".join(f"{name} = {toml(item)}" for name, item in value.items()) + "}"
@@ -112,14 +112,14 @@
     assert result.output.count("\n") == 1 and not (tmp_path / "out").exists()
 
 
-def test_files_that_are_no_drill_are_one_line(tmp_path: Path) -> None:
+def test_files_that_are_no_scenario_are_one_line(tmp_path: Path) -> None:
     (tmp_path / "x.toml").write_text("name = [")
     for name, word in ((str(tmp_path / "x.toml"), "no TOML"), ("nowhere", "cold-start")):
         result = CliRunner().invoke(main, ["stage", "run", name])
         assert result.exit_code == 2 and word in result.output and result.output.count("\n") == 1
 
 
-def test_all_ready_drills_are_right_and_listed() -> None:
+def test_all_ready_scenarios_are_right_and_listed() -> None:
     shown = CliRunner().invoke(main, ["stage", "list"]).output
     assert (
         all(
@@ -135,7 +135,7 @@
     assert scenario.names("half", 5, 3, 2) == {"p0", "p2", "p4"}
 
 
-def test_a_drill_drawn_from_a_seed_is_the_same_again_and_is_shrunk_to_what_fails() -> None:
+def test_a_scenario_drawn_from_a_seed_is_the_same_again_and_is_shrunk_to_what_fails() -> None:
     """A failure that needs one event of four, and three proxies."""
     plan = next(
         plan
@@ -161,8 +161,8 @@
 
 
 def test_a_service_begins_no_more_than_its_room() -> None:
-    service, chance = DiscoveryModel(10.0, 1000), Random(1)
-    times = sorted(chance.uniform(0.0, 10.0) for _ in range(600))
+    service, random_generator = DiscoveryModel(10.0, 1000), Random(1)
+    times = sorted(random_generator.uniform(0.0, 10.0) for _ in range(600))
     begun = [at for at in times if service.ask(at) is not None]
     assert 95 <= len(begun) <= 106 and most_in_span(begun)[0] <= 15
     queue = DiscoveryModel(10.0, 1000, queue=20)
@@ -249,7 +249,7 @@
 def seen() -> History:
     """A good second: one read, one order, each answered once."""
     records = History(began=100.0, ended=110.0)
-    records.lives = [ProcessEvent(100.0, "p0", "launched")]
+    records.process_events = [ProcessEvent(100.0, "p0", "launched")]
     records.told = [ListEvent(100.5, "p0", (("c0", "SERVING"), ("c1", "SERVING")), True)]
     records.pongs = [(100.6, "p0")]
     records.tries = [
@@ -300,7 +300,7 @@
         (lambda r: r.sends.append(UpstreamSend(101.5, "p0", "c7", "1", "read", "", 9.0)), "drains"),
         (lambda r: r.falls.append((101.0, "c0")), "cold caches"),
         (lambda r: r.pongs.insert(0, (100.2, "p0")), "door"),
-        (lambda r: r.lives.append(ProcessEvent(101.0, "p0", "exited", 1)), "crash"),
+        (lambda r: r.process_events.append(ProcessEvent(101.0, "p0", "exited", 1)), "crash"),
         (lambda r: r.asked.extend(DiscoveryCall(101.0 + i / 100, "p0", "asked") for i in range(9)), "asks"),
         (
             lambda r: r.hands.extend(
@@ -315,14 +315,14 @@
         (lambda r: r.fetches.extend((101.0, 102.0) for _ in range(4)), "fetches"),
     ],
 )
-def test_the_referee_finds_each_break(fault: object, rule: str) -> None:
+def test_the_checker_finds_each_break(fault: object, rule: str) -> None:
     records = seen()
     fault(records)
     must = {"asks_per_room": 1.5, "handshakes": 6.0, "connections": 8, "fetches": 3}
     assert rules(records, must=must) == {rule}
 
 
-def test_the_referee_finds_a_cold_cache_that_all_push() -> None:
+def test_the_checker_finds_a_cold_cache_that_all_push() -> None:
     records = seen()
     records.cold = {"c0": [101.0]}
     records.tries += [ClientAttempt(101.0, "p0", f"x{i}", "read", 5.0) for i in range(9000)]
@@ -345,7 +345,7 @@
 def test_what_a_dead_or_stopped_proxy_owed_is_not_judged() -> None:
     records = seen()
     records.answers.clear()
-    records.lives.append(ProcessEvent(101.02, "p0", "killed"))
+    records.process_events.append(ProcessEvent(101.02, "p0", "killed"))
     verdict = check_history(small(), records)
     assert not verdict.findings and verdict.figures["tries_exempt"] == 2
 
@@ -850,7 +850,11 @@
     )
     verdict, records = played(plan, tmp_path)
     assert verdict.word == "passed", (verdict.void, verdict.findings[:5])
-    assert [(life.proxy, life.code) for life in records.lives if life.what == "exited"] == [("p1", 0)]
+    assert [
+        (process_event.proxy, process_event.code)
+        for process_event in records.process_events
+        if process_event.what == "exited"
+    ] == [("p1", 0)]
 
 
 def test_results_are_kept_shown_and_drawn(tmp_path: Path) -> None:
@@ -864,7 +868,7 @@
 
 
 @SECOND
-def test_a_drill_of_twelve_processes_with_faults_holds_rules_and_bounds(tmp_path: Path) -> None:
+def test_a_scenario_of_twelve_processes_with_faults_holds_rules_and_bounds(tmp_path: Path) -> None:
     """A cold start with half of the links to the list service cut, a third stopped in line, then a drain."""
     plan = scenario.parse_scenario(
         {
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -84,7 +84,7 @@
         return client, client.take()
 
 
-def test_a_new_life_does_what_promises_allow_and_the_rest_once_its_version_is_proved() -> None:
+def test_a_new_incarnation_does_what_promises_allow_and_the_rest_once_its_version_is_proved() -> None:
     desk = Agreed().spacious()
     client, said = desk.ask("read")
     assert not said and desk.loop.opened  # a method that keeps its place and repeats goes on
