--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests share: deployments, RPCs, carrying out a verdict, a proxy on fake transports and time."""
+"""Shared test helpers: deployment settings, requests, and a proxy on a fake loop and fake transports."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,10 +11,17 @@
 from calicofall.routing.policy import RoutingPolicy
 from calicofall.routing.request import Request
 
-numbers = count()
+request_numbers = count()
 
 
-def fleet(aside: bool = False, proxies: int = 1, **changes: object) -> dict:
+def deployment_settings(cache_aside: bool = False, proxies: int = 1, **changes: object) -> dict:
+    """Returns the settings of a deployment in the router's form.
+
+    Args:
+        cache_aside: whether the origin is an endpoint of its own, as in the cache-aside mode.
+        proxies: the number of proxies of the fleet.
+        changes: top-level settings that replace the defaults.
+    """
     read = {
         "name": "read",
         "repeats": "retriable",
@@ -36,7 +43,7 @@
         "kinds": ["box", "origin"],
         "discovery": "push",
         "over_share_gain": 0.1,
-        "data": {"mode": "aside" if aside else "through", "origin_kind": 1 if aside else -1},
+        "data": {"mode": "aside" if cache_aside else "through", "origin_kind": 1 if cache_aside else -1},
         "caps": {"most_transmissions": 4, "cancel": True, "retry_after": True, "max_retry_after": 2000.0},
         "rules": {
             "cold_share": 0.2,
@@ -50,68 +57,76 @@
     } | changes
 
 
-def rpc_for(
-    method: str, key: int | None = 7, arrived: float = 0.0, until: float = 1000.0, tenant: str | None = None
+def make_request(
+    method: str,
+    key: int | None = 7,
+    arrived_at: float = 0.0,
+    expires_at: float = 1000.0,
+    tenant: str | None = None,
 ) -> Request:
-    return Request(f"{next(numbers):016x}", method, tenant, key, method != "read", arrived, until)
+    """Returns a request with an id of its own; `arrived_at` and `expires_at` are times in ms."""
+    return Request(
+        f"{next(request_numbers):016x}", method, tenant, key, method != "read", arrived_at, expires_at
+    )
 
 
-def send(policy: RoutingPolicy, now: float, rpc: Request) -> Decision | None:
-    verdict = policy.decide(now, rpc)
-    if isinstance(verdict, Reject | Fail):
-        rpc.finished = True
-    return verdict
+def route_request(policy: RoutingPolicy, now: float, request: Request) -> Decision | None:
+    """Returns the policy's decision at `now` (ms) and marks a rejected or failed request as finished."""
+    decision = policy.decide(now, request)
+    if isinstance(decision, Reject | Fail):
+        request.finished = True
+    return decision
 
 
-class Loop:
-    """An event loop's clock and calls, moved on by hand."""
+class FakeEventLoop:
+    """An event loop whose clock and scheduled calls are advanced by the test."""
 
     def __init__(self) -> None:
-        self.clock, self.calls, self.number = 1000.0, [], 0
-        self.opened: list[tuple] = []  # connections asked for: (stream, place)
+        self.clock, self.calls, self.scheduled_count = 1000.0, [], 0
+        self.connect_requests: list[tuple] = []  # (stream, address) of each requested connection
 
     def time(self) -> float:
         return self.clock
 
-    def call_at(self, when: float, call: Callable, *values: object) -> "Loop.Handle":
-        self.number += 1
-        handle = Loop.Handle(when, self.number, call, values)
+    def call_at(self, when: float, callback: Callable, *arguments: object) -> "FakeEventLoop.Handle":
+        self.scheduled_count += 1
+        handle = FakeEventLoop.Handle(when, self.scheduled_count, callback, arguments)
         self.calls.append(handle)
         return handle
 
-    def call_later(self, wait: float, call: Callable, *values: object) -> "Loop.Handle":
-        return self.call_at(self.clock + wait, call, *values)
+    def call_later(self, delay_s: float, callback: Callable, *arguments: object) -> "FakeEventLoop.Handle":
+        return self.call_at(self.clock + delay_s, callback, *arguments)
 
-    def call_soon(self, call: Callable, *values: object) -> "Loop.Handle":
-        return self.call_at(self.clock, call, *values)
+    def call_soon(self, callback: Callable, *arguments: object) -> "FakeEventLoop.Handle":
+        return self.call_at(self.clock, callback, *arguments)
 
-    def create_future(self) -> "Loop.Future":
-        return Loop.Future()
+    def create_future(self) -> "FakeEventLoop.Future":
+        return FakeEventLoop.Future()
 
-    def open(self, _loop: object, stream: object, place: tuple, _patience: float) -> None:
-        self.opened.append((stream, place))
+    def open(self, _loop: object, stream: object, address: tuple, _timeout_s: float) -> None:
+        self.connect_requests.append((stream, address))
 
-    def run(self, span: float = 0.0) -> None:
-        """Moves the clock on by `span` seconds, with all that comes due."""
-        end = self.clock + span
-        self.calls = [h for h in self.calls if not h.off]
-        while due := [h for h in self.calls if h.when <= end and not h.off]:
-            first = min(due, key=lambda h: (h.when, h.number))
+    def advance(self, duration_s: float = 0.0) -> None:
+        """Advances the clock by `duration_s` and runs the calls that become due, in order of their times."""
+        end_at = self.clock + duration_s
+        self.calls = [handle for handle in self.calls if not handle.cancelled]
+        while due := [handle for handle in self.calls if handle.when <= end_at and not handle.cancelled]:
+            first = min(due, key=lambda handle: (handle.when, handle.number))
             self.calls.remove(first)
             self.clock = max(self.clock, first.when)
-            first.call(*first.values)
-        self.clock = end
+            first.callback(*first.arguments)
+        self.clock = end_at
 
     @dataclass
     class Handle:
         when: float
         number: int
-        call: Callable
-        values: tuple
-        off: bool = False
+        callback: Callable
+        arguments: tuple
+        cancelled: bool = False
 
         def cancel(self) -> None:
-            self.off = True
+            self.cancelled = True
 
     class Future:
         def __init__(self) -> None:
@@ -124,26 +139,35 @@
             self.result = result
 
 
-class Wire:
-    """A transport that keeps what it is given; a full one takes `room` bytes and holds the rest back."""
+class FakeTransport:
+    """A transport that stores what is written to it.
+
+    It pauses the protocol's writing once more than `pause_after_bytes` bytes are stored; None means never.
+    """
 
-    def __init__(self, stream: object, room: int | None = None) -> None:
-        self.stream, self.room, self.sent, self.open, self.paused = stream, room, b"", True, False
-        self.ended = False  # shut for writing: the peer has been told of the end behind the last byte
+    def __init__(self, stream: object, pause_after_bytes: int | None = None) -> None:
+        self.stream, self.pause_after_bytes, self.sent, self.open, self.paused = (
+            stream,
+            pause_after_bytes,
+            b"",
+            True,
+            False,
+        )
+        self.eof_written = False  # whether EOF was written after the last byte
         stream.connection_made(self)
 
     def set_write_buffer_limits(self, high: int) -> None:
         assert high == 0
 
     def write(self, data: bytes) -> None:
-        assert not self.ended
+        assert not self.eof_written
         self.sent += data
-        if self.room is not None and len(self.sent) > self.room:
+        if self.pause_after_bytes is not None and len(self.sent) > self.pause_after_bytes:
             self.stream.pause_writing()
 
     def write_eof(self) -> None:
-        assert not self.ended
-        self.ended = True
+        assert not self.eof_written
+        self.eof_written = True
 
     def get_extra_info(self, _name: str) -> None:
         return None
@@ -162,23 +186,26 @@
     close = abort
 
     def feed(self, data: bytes) -> None:
+        """Delivers data from the peer to the protocol."""
         while data:
-            room = self.stream.get_buffer(-1)
-            part = min(len(room), len(data))
-            room[:part] = data[:part]
-            self.stream.buffer_updated(part)
-            data = data[part:]
+            buffer = self.stream.get_buffer(-1)
+            size = min(len(buffer), len(data))
+            buffer[:size] = data[:size]
+            self.stream.buffer_updated(size)
+            data = data[size:]
 
     def take(self) -> bytes:
+        """Returns what was written since the last call, and clears it."""
         data, self.sent = self.sent, b""
         return data
 
-    def end(self) -> None:
-        """The peer sees the end of what is sent to it, and ends, too."""
-        assert self.ended and self.open
+    def receive_eof(self) -> None:
+        """Delivers the EOF that the peer sends after it has received ours."""
+        assert self.eof_written and self.open
         self.stream.eof_received()
 
 
+# The settings of the tests' proxies, in the form that a node file has them.
 SETTINGS = {
     "balancers": 2,
     "me": 0,
@@ -221,10 +248,11 @@
     },
 }
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+CHUNKED_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def endpoint(name: str, status: str = "SERVING", address: str | None = None) -> dict:
+    """Returns an endpoint's entry of an endpoint list, as the discovery service sends it."""
     return {
         "name": name,
         "address": address or f"10.1.0.{name[1:]}:6379",
@@ -237,24 +265,25 @@
     }
 
 
-class Air:
-    """A datagram transport."""
+class FakeDatagramTransport:
+    """A datagram transport that stores what is sent."""
 
     def __init__(self) -> None:
         self.sent: list[bytes] = []
 
-    def sendto(self, data: bytes, _place: tuple) -> None:
+    def sendto(self, data: bytes, _address: tuple) -> None:
         self.sent.append(data)
 
     def is_closing(self) -> bool:
         return False
 
 
-class Desk:
-    """A proxy on a loop and transports that are moved by hand."""
+class ProxyHarness:
+    """A proxy on a fake event loop and fake transports, which the test drives."""
 
     @staticmethod
-    def node(caches: int = 3, sockets: int = 1024, **settings: object) -> dict:
+    def node_file(caches: int = 3, sockets: int = 1024, **settings: object) -> dict:
+        """Returns a node file's content with `caches` known endpoints and a limit of `sockets` sockets."""
         known = {"index": 1, "snapshot": True, "endpoints": [endpoint(f"c{i}") for i in range(1, caches + 1)]}
         return {
             "name": "n0",
@@ -266,43 +295,65 @@
             "settings": SETTINGS | settings,
         }
 
-    def __init__(self, caches: int = 3, sockets: int = 1024, ahead: bool = False, **settings: object) -> None:
-        self.loop = Loop()
-        self.proxy = Proxy(self.node(caches, sockets, **settings), self.loop, self.loop.open)
+    def __init__(
+        self, caches: int = 3, sockets: int = 1024, connect_ahead: bool = False, **settings: object
+    ) -> None:
+        self.loop = FakeEventLoop()
+        self.proxy = Proxy(self.node_file(caches, sockets, **settings), self.loop, self.loop.open)
         self.proxy.listener = type("Door", (), {"close": lambda self: None})()
-        if not ahead:  # most tests look at one connection
+        if not connect_ahead:  # most tests examine a single connection
             self.proxy.upstreams.opens_ahead = False
             self.proxy.upstreams.close()
-            self.loop.opened.clear()
+            self.loop.connect_requests.clear()
 
-    def spacious(self) -> "Desk":
-        """The module's limits are far off."""
+    def with_high_limits(self) -> "ProxyHarness":
+        """Raises the router's concurrency limits beyond what tests reach, and returns the harness."""
         for limit in (self.proxy.router.policy.fleet, self.proxy.router.policy.origin):
             limit.value, limit.spare = 1000.0, 2_000_000.0
         return self
 
-    def client(self, room: int | None = None) -> Wire | None:
-        return Wire(self.proxy.clients.admit(), room) if self.proxy.clients.make_room() else None
+    def client(self, pause_after_bytes: int | None = None) -> FakeTransport | None:
+        """Connects a client; returns None if the proxy has no room for it."""
+        return (
+            FakeTransport(self.proxy.clients.admit(), pause_after_bytes)
+            if self.proxy.clients.make_room()
+            else None
+        )
 
-    def line(self, number: int = -1, room: int | None = None) -> Wire:
-        """A connection to a cache that was asked for comes up."""
-        return Wire(self.loop.opened[number][0], room)
+    def connect_upstream(self, number: int = -1, pause_after_bytes: int | None = None) -> FakeTransport:
+        """Completes the connection to a cache that is entry `number` of the loop's `connect_requests`."""
+        return FakeTransport(self.loop.connect_requests[number][0], pause_after_bytes)
 
     def sigterm(self) -> None:
+        """Does what the proxy does on SIGTERM."""
         self.loop.add_signal_handler = lambda *_: None
         self.proxy.terminate()
 
-    def list(self, *endpoints: dict, index: int = 2) -> None:
+    def push_endpoint_list(self, *endpoints: dict, index: int = 2) -> None:
+        """Delivers changed endpoints as list event `index`, as the discovery service would."""
         self.proxy.on_list_event(
             *parse_endpoint_list({"index": index, "snapshot": False, "endpoints": list(endpoints)})
         )
 
 
-def ask(method: str = "read", key: int = 7, patience: str = "900", value: bytes = b"v") -> bytes:
-    pairs = f"c={method},t=acme,d={patience}".encode()
-    parts = [b"%016x" % key, b"%016x" % next(numbers), pairs if method == "read" else pairs + b",k=5c0f"]
-    return resp.encode_command([b"C.GET", *parts] if method == "read" else [b"C.SET", *parts, value])
-
-
-def reply(value: bytes = b"fresh", note: bytes | None = b"hit") -> bytes:
-    return b"*3\r\n" + resp.encode_bulk(value) + (resp.encode_bulk(note) if note else b"$-1\r\n") + b"$-1\r\n"
+def encode_request(
+    method: str = "read", key: int = 7, remaining_ms: str = "900", value: bytes = b"v"
+) -> bytes:
+    """Returns a client's command for a request that has `remaining_ms` until its deadline."""
+    metadata = f"c={method},t=acme,d={remaining_ms}".encode()
+    arguments = [
+        b"%016x" % key,
+        b"%016x" % next(request_numbers),
+        metadata if method == "read" else metadata + b",k=5c0f",
+    ]
+    return resp.encode_command([b"C.GET", *arguments] if method == "read" else [b"C.SET", *arguments, value])
+
+
+def encode_reply(value: bytes = b"fresh", cache_status: bytes | None = b"hit") -> bytes:
+    """Returns a cache's reply; the cache status is null if `cache_status` is None."""
+    return (
+        b"*3\r\n"
+        + resp.encode_bulk(value)
+        + (resp.encode_bulk(cache_status) if cache_status else b"$-1\r\n")
+        + b"$-1\r\n"
+    )
--- a/tests/rogues.py
+++ b/tests/rogues.py
@@ -1,6 +1,7 @@
-"""Proxies that are broken on purpose, each in one way, for the stage's referee to find. Not in the package.
+"""Faulty variants of the proxy, each with one fault, to test that the testbed's checker finds the fault.
 
-Run as `python tests/rogues.py NAME serve`, in place of `python -m calicofall serve`.
+Run as `python tests/rogues.py NAME serve` in place of `python -m calicofall serve`. NAME is the name of the
+function that patches the fault into the program. The package does not contain these variants.
 """
 
 import sys
@@ -10,91 +11,96 @@
 
 
 def answers_twice() -> None:
-    give = client_connection.PendingReply.complete
+    """Sends each successful reply twice."""
+    complete = client_connection.PendingReply.complete
 
-    def twice(self: client_connection.PendingReply, answer: bytes) -> None:
-        give(self, answer + answer if answer[:1] == b"$" else answer)
+    def complete_twice(self: client_connection.PendingReply, answer: bytes) -> None:
+        complete(self, answer + answer if answer[:1] == b"$" else answer)
 
-    client_connection.PendingReply.complete = twice
+    client_connection.PendingReply.complete = complete_twice
 
 
 def answers_never() -> None:
-    give = client_connection.PendingReply.complete
+    """Sends error replies, but no successful ones."""
+    complete = client_connection.PendingReply.complete
     client_connection.PendingReply.complete = (
-        lambda self, answer: give(self, answer) if answer[:1] != b"$" else None
+        lambda self, answer: complete(self, answer) if answer[:1] != b"$" else None
     )
 
 
 def asks_at_once() -> None:
-    """A line that nobody stands in."""
+    """Asks the discovery service at once, and again 20 ms after each refusal, without waiting for a turn."""
     discovery_schedule.DiscoverySchedule.enter = lambda self, now, part=1.0: now
     discovery_schedule.DiscoverySchedule.refused = lambda self, now, after=0.0: now + 0.02
 
 
 def makes_up_for_turns() -> None:
-    """A turn that was slept through is taken all the same."""
+    """Uses time slots that passed while the process was stopped."""
     time_slots.TimeSlots.lapsed = lambda self, slot, now: False
 
 
 def opens_without_list() -> None:
-    async def listed(self: server.Proxy) -> None:
+    """Accepts clients before it has an endpoint list."""
+
+    async def return_at_once(self: server.Proxy) -> None:
         pass
 
-    server.Proxy.wait_for_list = listed
+    server.Proxy.wait_for_list = return_at_once
 
 
 def sends_after_drain() -> None:
-    told = discovery.Discovery.on_endpoint_list
-    first: list[bool] = []
+    """Ignores every endpoint list after the first, and so goes on sending to endpoints that are drained."""
+    on_endpoint_list = discovery.Discovery.on_endpoint_list
+    received: list[bool] = []
 
-    def deaf(self: discovery.Discovery, *news: object) -> None:
-        if not first:
-            first.append(True)
-            told(self, *news)
+    def apply_first_only(self: discovery.Discovery, *arguments: object) -> None:
+        if not received:
+            received.append(True)
+            on_endpoint_list(self, *arguments)
 
-    discovery.Discovery.on_endpoint_list = deaf
+    discovery.Discovery.on_endpoint_list = apply_first_only
 
 
 def two_out() -> None:
-    """A second copy while the first is out; a non-retriable RPC has its effect twice."""
+    """Sends a second copy while the first is in flight: a non-retriable request has its effect twice."""
     send = upstream.Upstreams.send
 
-    def twice(self: upstream.Upstreams, name: str, *rest: object) -> object:
-        sending = send(self, name, *rest)
+    def send_twice(self: upstream.Upstreams, name: str, *arguments: object) -> object:
+        command = send(self, name, *arguments)
         pool = self.pools[name]
-        other = next((p for p in self.pools.values() if p is not pool and p.accepts_requests), None)
-        if other is not None:
-            extra = upstream.UpstreamCommand(
-                sending.owner,
+        other_pool = next((p for p in self.pools.values() if p is not pool and p.accepts_requests), None)
+        if other_pool is not None:
+            copy = upstream.UpstreamCommand(
+                command.owner,
                 0,
-                sending.render,
-                sending.sent_at,
-                sending.answer_due_at,
-                sending.request_due_at,
+                command.render,
+                command.sent_at,
+                command.answer_due_at,
+                command.request_due_at,
             )
-            extra.timer, extra.finished = self.loop.call_later(9.0, lambda: None), True
-            if (copy := other.acquire(9.0)) is not None:
-                self.may_send = lambda one: True  # nor does it look once more
-                copy.send(extra)
-        return sending
+            copy.timer, copy.finished = self.loop.call_later(9.0, lambda: None), True
+            if (connection := other_pool.acquire(9.0)) is not None:
+                self.may_send = lambda command: True  # skips the check before the bytes are written
+                connection.send(copy)
+        return command
 
-    upstream.Upstreams.send = twice
+    upstream.Upstreams.send = send_twice
 
 
 def opens_beyond_share() -> None:
-    """Handshakes as they come, and a new connection for each RPC."""
+    """Starts handshakes without waiting for its share, and opens a new connection for each request."""
     connection_quotas.ConnectionQuotas.begin = lambda self, name, turn, now, wall, needed=True: now
-    rest = upstream_connection.UpstreamConnection.become_idle
+    become_idle = upstream_connection.UpstreamConnection.become_idle
 
     def close(self: upstream_connection.UpstreamConnection) -> None:
-        rest(self)
+        become_idle(self)
         self.abort()
 
     upstream_connection.UpstreamConnection.become_idle = close
 
 
 def floods_cold() -> None:
-    """Cold caches are sent all that comes."""
+    """Sends cold caches every request, without the limits of slow start."""
     from calicofall.routing.limits import Limits
     from calicofall.routing.slow_start import SlowStart
 
@@ -103,40 +109,40 @@
 
 
 def ignores_its_lease() -> None:
-    """What it was allowed once it goes on doing, cut off or stopped."""
+    """Keeps acting on a version after its lease has expired, also while cut off and after it was stopped."""
     from calicofall.fleet.configuration_agreement import ConfigurationAgreement
     from calicofall.proxy import configuration_sync
 
-    until = ConfigurationAgreement.leased_until
+    leased_until = ConfigurationAgreement.leased_until
     ConfigurationAgreement.leased_until = lambda self, now: max(
-        until(self, now), now + 100.0 if self.effect else 0.0
+        leased_until(self, now), now + 100.0 if self.effect else 0.0
     )
     configuration_sync.ConfigurationSync.refresh_if_due = lambda self: None
 
 
 def never_halts() -> None:
-    """Goes on with a version that fails."""
+    """Never halts the canary of a version that fails."""
     from calicofall.fleet.canary import Canary
 
     Canary.look = lambda self, now, counts: not self.seen and self.seen.append((now, counts))
 
 
 def tries_unasked() -> None:
-    """Tries what others are to try."""
+    """Takes part in canaries that name other proxies as their members."""
     from calicofall.proxy import configuration_sync
 
-    attempt = configuration_sync.ConfigurationSync.begin_canary
-    configuration_sync.ConfigurationSync.begin_canary = lambda self, one, reasons: attempt(
-        self, one._replace(trial=one.trial._replace(members=(self.me,), span=20.0)), reasons
+    begin_canary = configuration_sync.ConfigurationSync.begin_canary
+    configuration_sync.ConfigurationSync.begin_canary = lambda self, document, reasons: begin_canary(
+        self, document._replace(trial=document.trial._replace(members=(self.me,), span=20.0)), reasons
     )
 
 
 def lies_of_caches() -> None:
-    """Says of every cache that all goes badly there, and asks about them all the time."""
+    """Reports that all requests fail at every cache, and asks its peers about all caches all the time."""
     from calicofall.fleet.outlier_consensus import OutlierConsensus
 
-    word = OutlierConsensus._word
-    OutlierConsensus._word = lambda self, now, *rest: word(self, now, *rest)._replace(
+    build_evidence = OutlierConsensus._word
+    OutlierConsensus._word = lambda self, now, *arguments: build_evidence(self, now, *arguments)._replace(
         well=0, badly=10_000, age=3_600_000
     )
     OutlierConsensus._open = lambda self, now, doubted: sorted(
@@ -145,14 +151,14 @@
 
 
 def fetches_out_of_turn() -> None:
-    """What may need the origin goes as it comes."""
+    """Sends requests that may need the origin at once, without waiting for an origin fetch slot."""
     from calicofall.fleet.rate_slots import OriginFetchSlots
 
     OriginFetchSlots.due = lambda self, now: now
 
 
 def sends_beyond_its_part() -> None:
-    """RPCs out at a cache, as many as come."""
+    """Exceeds its part of the in-flight quota of a cache: sends every request."""
     from calicofall.fleet.in_flight_quota import InFlightQuota
 
     begin = InFlightQuota.begin
@@ -163,9 +169,9 @@
     )
 
 
-ROGUES = {
-    name.__name__: name
-    for name in (
+FAULTY_VARIANTS = {
+    variant.__name__: variant
+    for variant in (
         answers_twice,
         answers_never,
         asks_at_once,
@@ -187,5 +193,5 @@
 if __name__ == "__main__":
     from calicofall.cli.main import main
 
-    ROGUES[sys.argv.pop(1)]()
+    FAULTY_VARIANTS[sys.argv.pop(1)]()
     main(prog_name="calicofall")
--- a/tests/settings_support.py
+++ b/tests/settings_support.py
@@ -1,4 +1,4 @@
-"""Settings documents and addresses that answer, for the tests of settings and of canaries."""
+"""Settings documents and a server with fixed answers, for the tests of settings and of canaries."""
 
 import json
 import socket
@@ -9,7 +9,7 @@
 
 from calicofall.fleet import settings_document
 
-# The tests' settings, as a document holds them.
+# The tests' settings in the form of a settings document.
 COMMON_SETTINGS: dict[str, Any] = {
     name: value for name, value in SETTINGS.items() if name not in settings_document.OWN
 } | {
@@ -19,14 +19,19 @@
 
 
 def settings_with(**methods: dict[str, Any]) -> dict[str, Any]:
-    """The tests' settings with changes by method."""
+    """Returns the tests' settings with the changes that `methods` maps each method's name to."""
     return COMMON_SETTINGS | {
         "methods": [method | methods.get(method["name"], {}) for method in COMMON_SETTINGS["methods"]]
     }
 
 
 def document_text(changes: dict[str, Any] | None = None, *, sealed: bool = True) -> str:
-    """The text of a document, version 2 after 1, with changes by field."""
+    """Returns the text of a settings document, version 2 after version 1.
+
+    Args:
+        changes: fields that replace the defaults.
+        sealed: whether the document carries its digest.
+    """
     data = {
         "version": 2,
         "after": 1,
@@ -41,10 +46,10 @@
 
 
 def serve_answers(*answers: bytes) -> tuple[str, list[bytes]]:
-    """Answers one connection after the other.
+    """Listens on a port and sends each answer on a connection of its own, one connection after the other.
 
     Returns:
-        The address, and what it is sent: one item a connection, as they come.
+        The address, and a list to which the data received on each connection is appended.
     """
     received: list[bytes] = []
     listener = socket.create_server(("127.0.0.1", 0))
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -6,7 +6,7 @@
 import pytest
 from click.testing import CliRunner
 from conftest import PROCESS_GROUPS
-from helpers import Desk, ask, reply
+from helpers import ProxyHarness, encode_reply, encode_request
 
 from calicofall.cli.main import main
 from calicofall.proxy import logs
@@ -141,14 +141,14 @@
     for level, count in (("INFO", 0), ("DEBUG", 2)):
         caplog.clear()
         with caplog.at_level(level, "calicofall"):
-            desk = Desk().spacious()
-            client = desk.client()
-            client.feed(ask("read", key=7))
-            line = desk.line()
-            line.feed(reply())
-            desk.proxy.router.policy.fleet.spare = -1e9  # no room
-            client.feed(ask("order", key=8, value=b"x"))
-            desk.loop.run(0.6)
+            harness = ProxyHarness().with_high_limits()
+            client = harness.client()
+            client.feed(encode_request("read", key=7))
+            upstream = harness.connect_upstream()
+            upstream.feed(encode_reply())
+            harness.proxy.router.policy.fleet.spare = -1e9  # no room
+            client.feed(encode_request("order", key=8, value=b"x"))
+            harness.loop.advance(0.6)
             lines = [record for record in caplog.records if record.message == "rpc"]
         assert len(lines) == count
         for record in lines:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -9,7 +9,7 @@
 from random import Random
 
 import pytest
-from helpers import Desk, Wire, ask, endpoint, reply
+from helpers import FakeTransport, ProxyHarness, encode_reply, encode_request, endpoint
 
 from calicofall.config.endpoint_list import parse_endpoint_list
 
@@ -27,12 +27,14 @@
     ]
 
 
-def tell_list(desk: Desk, version: int, entries: list[dict]) -> None:
-    desk.proxy.on_list_event(*parse_endpoint_list({"index": version, "snapshot": True, "endpoints": entries}))
+def tell_list(harness: ProxyHarness, version: int, entries: list[dict]) -> None:
+    harness.proxy.on_list_event(
+        *parse_endpoint_list({"index": version, "snapshot": True, "endpoints": entries})
+    )
 
 
-def tell_changes(desk: Desk, version: int, entries: list[dict]) -> None:
-    desk.proxy.on_list_event(
+def tell_changes(harness: ProxyHarness, version: int, entries: list[dict]) -> None:
+    harness.proxy.on_list_event(
         *parse_endpoint_list({"index": version, "snapshot": False, "endpoints": entries})
     )
 
@@ -40,75 +42,75 @@
 # What the discovery service tells
 
 
-def list_empty_for_a_while(desk: Desk, step: int) -> None:
+def list_empty_for_a_while(harness: ProxyHarness, step: int) -> None:
     if step == 200:
-        tell_list(desk, 2, [])
+        tell_list(harness, 2, [])
     elif step == 400:
-        tell_list(desk, 3, endpoints(1, 61))
+        tell_list(harness, 3, endpoints(1, 61))
 
 
-def fleet_triples(desk: Desk, step: int) -> None:
+def fleet_triples(harness: ProxyHarness, step: int) -> None:
     if step == 200:
-        tell_list(desk, 2, endpoints(1, 181))
+        tell_list(harness, 2, endpoints(1, 181))
 
 
-def drains_without_end(desk: Desk, step: int) -> None:
+def drains_without_end(harness: ProxyHarness, step: int) -> None:
     """Endpoints that drain and are never deleted, and entries that lack most fields."""
     if step % 100 == 50:
         draining = endpoint(f"c{step // 100 + 1}", "DRAINING")
-        tell_changes(desk, step, [draining, {"name": f"x{step}"}])
+        tell_changes(harness, step, [draining, {"name": f"x{step}"}])
 
 
-def addresses_used_again(desk: Desk, step: int) -> None:
+def addresses_used_again(harness: ProxyHarness, step: int) -> None:
     """An endpoint goes, and another one comes up at its address."""
     if step % 100 == 50:
         number = step // 100 + 1
         new = endpoint(f"n{number}", address=f"10.1.0.{number + 1}:6379")
         deleted = endpoint(f"c{number}", "DELETED")
-        tell_changes(desk, step, [deleted, new | {"since_ms": desk.proxy.now_ms()}])
+        tell_changes(harness, step, [deleted, new | {"since_ms": harness.proxy.now_ms()}])
 
 
-def nothing_told(_desk: Desk, _step: int) -> None:
+def nothing_told(_desk: ProxyHarness, _step: int) -> None:
     """The first list holds for the whole minute."""
 
 
 # What becomes of connections
 
 
-class AnsweringEndpoint(Wire):
+class AnsweringEndpoint(FakeTransport):
     """An endpoint that answers each command after a while."""
 
-    def __init__(self, desk: Desk, stream: object, random: Random) -> None:
-        self.desk = desk
+    def __init__(self, harness: ProxyHarness, stream: object, random: Random) -> None:
+        self.harness = harness
         self.random = random
         super().__init__(stream)
 
     def write(self, data: bytes) -> None:
         for _ in range(bytes(data).count(b"C.")):
-            self.desk.loop.call_later(self.random.uniform(0.005, 0.1), self.reply)
+            self.harness.loop.call_later(self.random.uniform(0.005, 0.1), self.reply)
 
     def reply(self) -> None:
         if self.open:
-            self.feed(reply())
+            self.feed(encode_reply())
 
 
-def connects(desk: Desk, stream: object, random: Random) -> None:
-    desk.loop.call_later(0.001, lambda: stream.closed or AnsweringEndpoint(desk, stream, random))
+def connects(harness: ProxyHarness, stream: object, random: Random) -> None:
+    harness.loop.call_later(0.001, lambda: stream.closed or AnsweringEndpoint(harness, stream, random))
 
 
-def refused(desk: Desk, stream: object, _random: Random) -> None:
-    desk.loop.call_later(0.0005, stream.abort)
+def refused(harness: ProxyHarness, stream: object, _random: Random) -> None:
+    harness.loop.call_later(0.0005, stream.abort)
 
 
-def never_connects(_desk: Desk, _stream: object, _random: Random) -> None:
+def never_connects(_desk: ProxyHarness, _stream: object, _random: Random) -> None:
     """A connection that never comes up."""
 
 
-def any_of_these(desk: Desk, stream: object, random: Random) -> None:
-    random.choice([refused, never_connects, connects])(desk, stream, random)
+def any_of_these(harness: ProxyHarness, stream: object, random: Random) -> None:
+    random.choice([refused, never_connects, connects])(harness, stream, random)
 
 
-def take_answer(client: Wire) -> str:
+def take_answer(client: FakeTransport) -> str:
     """What a client got, which has to be one answer: a value or a rejection."""
     is_value = client.sent.startswith(b"$")
     assert client.sent.count(b"\r\n") == (2 if is_value else 1)
@@ -144,39 +146,40 @@
 ) -> None:
     random = Random(3)
     settings = {"balancers": proxies} if quotas else {"balancers": proxies, "realms": []}
-    desk = Desk(0, MAX_DESCRIPTORS, **settings)
-    desk.proxy.upstreams.open_connection = lambda _loop, stream, _place, _patience: connection(
-        desk, stream, random
+    harness = ProxyHarness(0, MAX_DESCRIPTORS, **settings)
+    harness.proxy.upstreams.open_connection = lambda _loop, stream, _place, _patience: connection(
+        harness, stream, random
     )
-    desk.proxy.discovery.open_connection = lambda _loop, stream, _place, _patience: None
-    desk.proxy.discovery.start()
-    tell_list(desk, 1, endpoints(1, caches + 1))
-    clients = [desk.client() for _ in range(20)]
+    harness.proxy.discovery.open_connection = lambda _loop, stream, _place, _patience: None
+    harness.proxy.discovery.start()
+    tell_list(harness, 1, endpoints(1, caches + 1))
+    clients = [harness.client() for _ in range(20)]
     answer_due = {}
     keys = count()
     answers = Counter()
-    calls_before = desk.loop.number
+    calls_before = harness.loop.scheduled_count
     for step in range(STEPS):
-        news(desk, step)
+        news(harness, step)
         for client in clients:
             if client.sent:
-                assert desk.loop.time() <= answer_due.pop(client) + 0.05
+                assert harness.loop.time() <= answer_due.pop(client) + 0.05
                 answers[take_answer(client)] += 1
         free = [client for client in clients if client not in answer_due]
         if free and step < LAST_REQUEST_STEP:
             client = random.choice(free)
             patience_ms = random.randrange(80, 400)
             method = random.choice(["read", "read", "save"])
-            client.feed(ask(method, next(keys) % 50, str(patience_ms)))
-            answer_due[client] = desk.loop.time() + patience_ms / 1000.0
-        desk.loop.run(STEP_S)
+            client.feed(encode_request(method, next(keys) % 50, str(patience_ms)))
+            answer_due[client] = harness.loop.time() + patience_ms / 1000.0
+        harness.loop.advance(STEP_S)
         assert (
-            desk.proxy.upstreams.connection_count() + len(desk.proxy.clients.connections) <= MAX_DESCRIPTORS
+            harness.proxy.upstreams.connection_count() + len(harness.proxy.clients.connections)
+            <= MAX_DESCRIPTORS
         )
     assert not answer_due
-    assert not desk.proxy.active_requests
-    assert not desk.proxy.router.active_requests
-    assert desk.loop.number - calls_before < 60_000  # the loop does not spin
+    assert not harness.proxy.active_requests
+    assert not harness.proxy.router.active_requests
+    assert harness.loop.scheduled_count - calls_before < 60_000  # the loop does not spin
     if connection is connects and caches > 1:
         if news is list_empty_for_a_while:
             assert answers["value"] > answers["rejected"]
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 import pytest
-from helpers import SETTINGS, fleet, rpc_for, send
+from helpers import SETTINGS, deployment_settings, make_request, route_request
 
 from calicofall.config.settings import normalize_settings, settings_on_sockets, validate_settings
 from calicofall.routing.decisions import Decision, Fail, Forward, Reject
@@ -19,7 +19,7 @@
 def policy_of(
     caches: list[tuple] = BOX, caps: dict | None = None, aside: bool = False, **rules: float
 ) -> RoutingPolicy:
-    known = fleet(aside=aside)
+    known = deployment_settings(cache_aside=aside)
     policy = RoutingPolicy(
         known | {"rules": known["rules"] | rules, "caps": known["caps"] | (caps or {})}, 1, 0.0
     )
@@ -36,8 +36,8 @@
     key: int = 7,
 ) -> tuple[int, Decision]:
     """One request whose attempts all end like this: how many there were, and its last verdict."""
-    request = rpc_for(method, key, now, now + 1500.0)
-    decision = send(policy, now, request)
+    request = make_request(method, key, now, now + 1500.0)
+    decision = route_request(policy, now, request)
     while isinstance(decision, Forward):
         request.attempts[-1].outcome = outcome
         decision = policy.on_attempt_result(now, request, len(request.attempts) - 1, took, None, None)
@@ -102,8 +102,8 @@
 def test_miss_allows_one_more_attempt_beside_the_budget() -> None:
     origin = ("o", "z", "origin", 0, "ready", None, 0.0)
     policy = policy_of([*BOX, origin], aside=True, **TOLD | {"retry_spare": 0, "retry_ratio": 0.0})
-    request = rpc_for("read", 7, 0.0, 900.0)
-    send(policy, 0.0, request)
+    request = make_request("read", 7, 0.0, 900.0)
+    route_request(policy, 0.0, request)
     request.attempts[0].outcome = "missed"
     assert policy.on_attempt_result(5.0, request, 0, 5.0, None, None).endpoint == "o"
     request.attempts[1].outcome = "error"
@@ -123,8 +123,8 @@
     """kaiku-catchup: requests came with up to 1,500 ms less than they had, and were given up unsent."""
     policy = policy_of(clock_error=1500.0)
     for left in (400.0, 1.0, -200.0):
-        request = rpc_for("read", 7, 1000.0, 1000.0 + left)
-        decision = send(policy, 1000.0, request)
+        request = make_request("read", 7, 1000.0, 1000.0 + left)
+        decision = route_request(policy, 1000.0, request)
         assert isinstance(decision, Forward)
         assert decision.timeout_ms >= 1300.0
         assert request.expires_at <= max(1000.0, 1000.0 + left) + 1500.0
@@ -133,8 +133,8 @@
 def test_request_whose_client_gave_up_by_its_own_clock_is_rejected() -> None:
     policy = policy_of(clock_error=1500.0)
     for outcome in ("timeout", "moot"):
-        request = rpc_for("read", 7, 0.0, 300.0)
-        request.timeout_ms = send(policy, 0.0, request).timeout_ms
+        request = make_request("read", 7, 0.0, 300.0)
+        request.timeout_ms = route_request(policy, 0.0, request).timeout_ms
         request.attempts[0].outcome = outcome
         assert isinstance(policy.on_attempt_result(300.0, request, 0, 300.0, None, None), Reject)
 
@@ -169,8 +169,8 @@
             policy.on_attempt_result(
                 now, request, 0, now - request.arrived_at, "hit" if outcome == "completed" else None, None
             )
-        request = rpc_for("read", number % 40, now, now + 1900.0)
-        decision = send(policy, now, request)
+        request = make_request("read", number % 40, now, now + 1900.0)
+        decision = route_request(policy, now, request)
         if isinstance(decision, Forward):
             late = slow(number, int(request.attempts[0].endpoint[1:]))
             took = min(decision.timeout_ms, 1500.0) if late else 40.0
@@ -201,11 +201,11 @@
     for buffers, most in ((10, 500.0), (1000, 2000.0)):
         policy = policy_of(caps={"buffers": buffers})
         reading(policy, seventh)
-        patience = send(policy, 15_000.0, rpc_for("read", 7, 15_000.0, 16_900.0)).timeout_ms
+        patience = route_request(policy, 15_000.0, make_request("read", 7, 15_000.0, 16_900.0)).timeout_ms
         assert most - 500.0 < patience <= most
     policy = policy_of(caps={"buffers": 10})
     reading(policy, seventh)
-    assert send(policy, 15_000.0, rpc_for("order", 7, 15_000.0, 16_900.0)).timeout_ms == 1900.0
+    assert route_request(policy, 15_000.0, make_request("order", 7, 15_000.0, 16_900.0)).timeout_ms == 1900.0
 
 
 # Requests that fail wherever they go
@@ -216,14 +216,14 @@
     policy, sent = policy_of(), []
     for number in range(120):
         now = 50.0 * number
-        request = rpc_for(
+        request = make_request(
             "read",
             7 if sort == "key" else number,
             now,
             now + 1500.0,
             "t" if sort == "tenant" else f"t{number}",
         )
-        decision = send(policy, now, request)
+        decision = route_request(policy, now, request)
         while isinstance(decision, Forward):
             request.attempts[-1].outcome = "error"
             decision = policy.on_attempt_result(now, request, len(request.attempts) - 1, 5.0, None, None)
@@ -238,24 +238,24 @@
     policy = policy_of()
     for number in range(60):
         failing(policy, 50.0 * number, key=7)
-    good = rpc_for("read", 8, 3000.0, 4500.0)
-    assert policy.retries.fails_everywhere(3000.0, rpc_for("read", 7, 3000.0), 5.0)
-    assert isinstance(send(policy, 3000.0, good), Forward)
-    assert not policy.retries.fails_everywhere(13_000.0, rpc_for("read", 7, 13_000.0), 5.0)
+    good = make_request("read", 8, 3000.0, 4500.0)
+    assert policy.retries.fails_everywhere(3000.0, make_request("read", 7, 3000.0), 5.0)
+    assert isinstance(route_request(policy, 3000.0, good), Forward)
+    assert not policy.retries.fails_everywhere(13_000.0, make_request("read", 7, 13_000.0), 5.0)
 
 
 def test_endpoint_that_fails_alone_makes_no_group_fail() -> None:
     policy = policy_of()
     for number in range(200):
         now = 20.0 * number
-        request = rpc_for("read", number, now, now + 1500.0)
-        decision = send(policy, now, request)
+        request = make_request("read", number, now, now + 1500.0)
+        decision = route_request(policy, now, request)
         while decision and isinstance(decision, Forward):
             request.attempts[-1].outcome = "error" if decision.endpoint == "c3" else "completed"
             request.finished = request.attempts[-1].outcome == "completed"
             decision = policy.on_attempt_result(now, request, len(request.attempts) - 1, 30.0, "hit", None)
         policy.next_wakeup(now)
-    assert not policy.retries.fails_everywhere(4000.0, rpc_for("read", 3, 4000.0), 5.0)
+    assert not policy.retries.fails_everywhere(4000.0, make_request("read", 3, 4000.0), 5.0)
 
 
 # The settings
@@ -263,7 +263,7 @@
 
 def test_apply_settings_replaces_all_that_follows_from_the_former_ones() -> None:
     """They are versions: nothing derived from the former ones may survive."""
-    before = fleet()
+    before = deployment_settings()
     router = Router(before | {"rules": before["rules"] | TOLD}, 1, 0.0)
     told = {"retry_spare": 0, "retry_ratio": 0.5, "clock_error": 700.0, "start_error": 40.0}
     after = before | {
@@ -349,7 +349,7 @@
     """gulf-exchange: each list moved keys, and each move was a fetch."""
 
     def owners(live: bool) -> list[list[str]]:
-        policy = RoutingPolicy(fleet() | {"weights": "live" if live else "nominal"}, 1, 0.0)
+        policy = RoutingPolicy(deployment_settings() | {"weights": "live" if live else "nominal"}, 1, 0.0)
         out = []
         for version, loads in enumerate(([1.0] * 8, [1.0, 0.4, 0.7, 0.3, 1.0, 0.5, 0.8, 0.6], [0.6] * 8)):
             policy.on_endpoint_list(
@@ -374,7 +374,7 @@
 ) -> None:
     """All proxies began with three fetches a cache each, and clients left before the first came."""
     for aside in (False, True):
-        policy = RoutingPolicy(fleet(aside=aside, proxies=proxies), 1, 0.0)
+        policy = RoutingPolicy(deployment_settings(cache_aside=aside, proxies=proxies), 1, 0.0)
         policy.on_endpoint_list(
             0.0, "full", 1, [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(caches)]
         )
@@ -383,9 +383,12 @@
 
 @pytest.mark.parametrize(("late", "useful"), [(0.0, 500.0), (0.25, 875.0)])
 def test_useful_time_of_a_fetch_includes_the_value_of_late_answers(late: float, useful: float) -> None:
-    methods = [method | {"late_gain": late} for method in fleet()["methods"]]
-    assert RoutingPolicy(fleet(methods=methods), 1, 0.0).settings.useful_ms == useful
-    assert RoutingPolicy(fleet(aside=True, methods=methods), 1, 0.0).settings.useful_ms == 500.0
+    methods = [method | {"late_gain": late} for method in deployment_settings()["methods"]]
+    assert RoutingPolicy(deployment_settings(methods=methods), 1, 0.0).settings.useful_ms == useful
+    assert (
+        RoutingPolicy(deployment_settings(cache_aside=True, methods=methods), 1, 0.0).settings.useful_ms
+        == 500.0
+    )
 
 
 # Rule 4 in a mass restart
@@ -401,8 +404,8 @@
             policy.on_endpoint_list(
                 now, "delta", 2, [(f"c{i}", "z", "box", 0, "ready", None, now) for i in range(6)]
             )
-        request = rpc_for("read", number % 40, now, now + 900.0)
-        if isinstance(send(policy, now, request), Forward):
+        request = make_request("read", number % 40, now, now + 900.0)
+        if isinstance(route_request(policy, now, request), Forward):
             request.attempts[0].outcome, request.finished = "completed", True
             policy.on_attempt_result(now + 5.0, request, 0, 5.0, "hit", None)
         policy.next_wakeup(now)
--- a/tests/test_canary.py
+++ b/tests/test_canary.py
@@ -205,74 +205,74 @@
 FAILING_CHANGE = {"order": {"hardDeadlineNs": 1_000_000}}
 
 
-def versions_of(desk: Agreed) -> ConfigurationSync:
+def versions_of(harness: Agreed) -> ConfigurationSync:
     """The proxy's versions of the settings."""
-    versions: ConfigurationSync | None = desk.versions
+    versions: ConfigurationSync | None = harness.versions
     assert versions is not None
     return versions
 
 
-def tell_canary(desk: Agreed, changes: dict[str, dict[str, Any]], members: tuple[int, ...] = (0,)) -> None:
+def tell_canary(harness: Agreed, changes: dict[str, dict[str, Any]], members: tuple[int, ...] = (0,)) -> None:
     """The source tells the proxy of a document to be tried; `changes` by method."""
     data = paper(2, 3, **changes)
     data["trial"] = {"members": list(members), "s": 5.0, "worse": 0.05}
-    versions_of(desk).on_document(orjson.dumps(seal_document(data)))
+    versions_of(harness).on_document(orjson.dumps(seal_document(data)))
 
 
-def deadline_of_order(desk: Agreed) -> float:
+def deadline_of_order(harness: Agreed) -> float:
     """The deadline that the proxy acts on for a method (ms)."""
-    deadline: float = desk.proxy.router.policy.settings.methods["order"]["hard_deadline"]
+    deadline: float = harness.proxy.router.policy.settings.methods["order"]["hard_deadline"]
     return deadline
 
 
 def proxy_with_version_1() -> Agreed:
     """A proxy whose version 1 is in effect, with a lease."""
-    desk = Agreed()
-    desk.spacious()
-    return desk.go_on(4.0)
+    harness = Agreed()
+    harness.with_high_limits()
+    return harness.go_on(4.0)
 
 
 def test_canary_document_is_applied_with_what_is_in_effect_and_is_no_version() -> None:
-    desk = proxy_with_version_1()
+    harness = proxy_with_version_1()
 
-    tell_canary(desk, FAILING_CHANGE | {"read": {"gain": 9.0}})
+    tell_canary(harness, FAILING_CHANGE | {"read": {"gain": 9.0}})
 
-    assert deadline_of_order(desk) == 1.0
-    assert desk.proxy.router.policy.settings.methods["read"]["gain"] == 9.0
-    assert versions_of(desk).lease_status == LeaseStatus((1,), True)
-    assert versions_of(desk).agreement.known == 1
+    assert deadline_of_order(harness) == 1.0
+    assert harness.proxy.router.policy.settings.methods["read"]["gain"] == 9.0
+    assert versions_of(harness).lease_status == LeaseStatus((1,), True)
+    assert versions_of(harness).agreement.known == 1
     assert (
         "settings.trial:2 trying method=- not_completed=0.000 before=0.000 of=0 why=-"
-        in desk.proxy.handle_call("versions")
+        in harness.proxy.handle_call("versions")
     )
-    desk.go_on(6.0)  # without any requests
-    assert report_of(versions_of(desk).canary).word == CanaryState.UNMEASURED
-    assert deadline_of_order(desk) > 1.0
+    harness.go_on(6.0)  # without any requests
+    assert report_of(versions_of(harness).canary).word == CanaryState.UNMEASURED
+    assert deadline_of_order(harness) > 1.0
 
 
 def test_canary_document_for_other_members_is_not_tried() -> None:
-    desk = proxy_with_version_1()
+    harness = proxy_with_version_1()
 
-    tell_canary(desk, FAILING_CHANGE, members=(1, 2))
+    tell_canary(harness, FAILING_CHANGE, members=(1, 2))
 
-    assert versions_of(desk).canary.told is None
-    assert deadline_of_order(desk) > 1.0
+    assert versions_of(harness).canary.told is None
+    assert deadline_of_order(harness) > 1.0
 
 
 def test_canary_that_fails_at_a_proxy_is_halted_and_logged_in_one_line(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    desk = proxy_with_version_1()
-    counts = desk.proxy.metrics.answer_counts
+    harness = proxy_with_version_1()
+    counts = harness.proxy.metrics.answer_counts
     counts["completed"]["order"] += 50
-    desk.go_on(1.0)
-    tell_canary(desk, FAILING_CHANGE)
+    harness.go_on(1.0)
+    tell_canary(harness, FAILING_CHANGE)
     counts["errored"]["order"] += MIN_REQUESTS
 
     with caplog.at_level("WARNING", "calicofall"):
-        desk.go_on(1.0)
+        harness.go_on(1.0)
 
-    assert deadline_of_order(desk) > 1.0
+    assert deadline_of_order(harness) > 1.0
     logged = [vars(record) for record in caplog.records if record.message == "trial over"]
     assert [(record["verdict"], record["method"], record["of"]) for record in logged] == [
         ("failing", "order", MIN_REQUESTS)
@@ -280,36 +280,36 @@
 
 
 def test_canary_when_the_lease_is_lost_ends_unmeasured() -> None:
-    desk = proxy_with_version_1()
-    tell_canary(desk, FAILING_CHANGE)
+    harness = proxy_with_version_1()
+    tell_canary(harness, FAILING_CHANGE)
 
-    desk.go_on(3.0, answers=False)
+    harness.go_on(3.0, answers=False)
 
-    assert not versions_of(desk).lease_status.leased
-    assert report_of(versions_of(desk).canary).why == "no lease"
+    assert not versions_of(harness).lease_status.leased
+    assert report_of(versions_of(harness).canary).why == "no lease"
 
 
 def test_canary_when_another_version_is_heard_ends_unmeasured() -> None:
-    desk = proxy_with_version_1()
-    tell_canary(desk, FAILING_CHANGE)
+    harness = proxy_with_version_1()
+    tell_canary(harness, FAILING_CHANGE)
 
-    desk.publish(2)
+    harness.publish(2)
 
-    assert report_of(versions_of(desk).canary).why == "another version"
-    assert deadline_of_order(desk) > 1.0
+    assert report_of(versions_of(harness).canary).why == "another version"
+    assert deadline_of_order(harness) > 1.0
 
 
 def test_canary_document_that_cannot_follow_or_comes_without_a_lease_is_not_tried() -> None:
-    desk = proxy_with_version_1()
+    harness = proxy_with_version_1()
 
-    tell_canary(desk, {"read": {"failureDomainsOnly": ["b"]}, "order": {"streaming": True}})
+    tell_canary(harness, {"read": {"failureDomainsOnly": ["b"]}, "order": {"streaming": True}})
 
-    assert versions_of(desk).canary.told is None
-    assert "settings.refused:2" in desk.proxy.handle_call("versions")
-    desk.go_on(3.0, answers=False)
-    tell_canary(desk, FAILING_CHANGE)
-    assert versions_of(desk).canary.told is None
-    assert deadline_of_order(desk) > 1.0
+    assert versions_of(harness).canary.told is None
+    assert "settings.refused:2" in harness.proxy.handle_call("versions")
+    harness.go_on(3.0, answers=False)
+    tell_canary(harness, FAILING_CHANGE)
+    assert versions_of(harness).canary.told is None
+    assert deadline_of_order(harness) > 1.0
 
 
 @pytest.mark.parametrize(
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -24,7 +24,16 @@
 from select import POLLRDHUP, poll
 
 import pytest
-from helpers import HEAD, SETTINGS, Desk, Loop, Wire, ask, endpoint, reply
+from helpers import (
+    CHUNKED_RESPONSE_HEAD,
+    SETTINGS,
+    FakeEventLoop,
+    FakeTransport,
+    ProxyHarness,
+    encode_reply,
+    encode_request,
+    endpoint,
+)
 
 from calicofall.proxy import resp
 from calicofall.proxy.client_connection import MAX_PIPELINED_COMMANDS
@@ -39,19 +48,19 @@
 PING = resp.encode_command([b"PING"])
 
 
-def at(plug: socket.socket) -> str:
-    return f"127.0.0.1:{plug.getsockname()[1]}"
+def at(sock: socket.socket) -> str:
+    return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
-def unread(plug: socket.socket) -> int:
+def unread(sock: socket.socket) -> int:
     """Bytes that have come and have not been read."""
-    return int.from_bytes(fcntl.ioctl(plug.fileno(), termios.FIONREAD, bytes(4)), sys.byteorder)
+    return int.from_bytes(fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(4)), sys.byteorder)
 
 
-def waits(plug: socket.socket, count: int) -> None:
+def waits(sock: socket.socket, count: int) -> None:
     """Until so many bytes lie at a socket of ours: the system has carried them over."""
     end = time.monotonic() + 5.0
-    while unread(plug) < count:
+    while unread(sock) < count:
         assert time.monotonic() < end
         time.sleep(0.001)
 
@@ -62,11 +71,11 @@
     def __init__(self, caches: int = 1, sockets: int = 1024, **settings: object) -> None:
         self.loop = asyncio.new_event_loop()
         self.caches = [socket.create_server(("127.0.0.1", 0)) for _ in range(caches)]
-        node = Desk.node(0, sockets, **settings) | {
+        node = ProxyHarness.node_file(0, sockets, **settings) | {
             "known": {
                 "index": 1,
                 "snapshot": True,
-                "endpoints": [endpoint(f"c{i}", address=at(plug)) for i, plug in enumerate(self.caches)],
+                "endpoints": [endpoint(f"c{i}", address=at(sock)) for i, sock in enumerate(self.caches)],
             }
         }
         self.proxy = Proxy(node, self.loop)
@@ -78,7 +87,7 @@
             self.loop, ("127.0.0.1", 0), self.proxy.clients.make_room, self.proxy.clients.admit, shared=True
         )
         self.place = self.proxy.listener.socket.getsockname()
-        self.plugs: list[socket.socket] = []
+        self.open_sockets: list[socket.socket] = []
         self.turn()
 
     def turn(self, span: float = 0.05) -> None:
@@ -92,12 +101,12 @@
             self.turn(0.005)
 
     def client(self, accepted: bool = True) -> socket.socket:
-        before, plug = len(self.proxy.clients.connections), socket.create_connection(self.place)
-        plug.settimeout(5.0)
-        self.plugs.append(plug)
+        before, sock = len(self.proxy.clients.connections), socket.create_connection(self.place)
+        sock.settimeout(5.0)
+        self.open_sockets.append(sock)
         if accepted:
             self.until(lambda: len(self.proxy.clients.connections) > before)
-        return plug
+        return sock
 
     def sent(self, count: int) -> bool:
         return self.proxy.metrics.attempts_sent == count
@@ -105,14 +114,14 @@
     def cache(self) -> socket.socket:
         """The next connection that comes to a cache."""
         self.caches[0].settimeout(5.0)
-        plug = self.caches[0].accept()[0]
-        plug.settimeout(5.0)
-        self.plugs.append(plug)
-        return plug
+        sock = self.caches[0].accept()[0]
+        sock.settimeout(5.0)
+        self.open_sockets.append(sock)
+        return sock
 
     def close(self) -> None:
-        for plug in self.plugs + self.caches:
-            plug.close()
+        for sock in self.open_sockets + self.caches:
+            sock.close()
         self.proxy.discovery.stop()
         self.proxy.upstreams.close()
         for client in list(self.proxy.clients.connections):
@@ -129,18 +138,18 @@
     one.close()
 
 
-def gone(plug: socket.socket, stream: BufferedConnection) -> None:
+def gone(sock: socket.socket, stream: BufferedConnection) -> None:
     """A client leaves, and the system knows of it while the loop stands."""
     eye = poll()
     eye.register(stream.transport.get_extra_info("socket").fileno(), POLLRDHUP)
-    plug.close()
+    sock.close()
     assert eye.poll(5000)
 
 
-def whole(plug: socket.socket) -> bytes:
+def whole(sock: socket.socket) -> bytes:
     """All that comes up to the peer's end; a reset raises."""
     data = b""
-    while piece := plug.recv(1 << 16):
+    while piece := sock.recv(1 << 16):
         data += piece
     return data
 
@@ -150,62 +159,62 @@
 
 def test_a_close_over_unread_bytes_takes_no_answer_with_it(live: Live) -> None:
     """A command came in the instant of the close: the reset that followed destroyed what was in flight."""
-    plug = live.client()
-    plug.sendall(PING)
+    sock = live.client()
+    sock.sendall(PING)
     live.until(lambda: live.proxy.clients.idle)
     stream = next(iter(live.proxy.clients.idle))
     mine = stream.transport.get_extra_info("socket")
-    plug.sendall(ask())
+    sock.sendall(encode_request())
     waits(mine, 1)  # the loop has not turned: it is unread
     live.proxy.clients.close_idle()
     assert unread(mine) and stream.closing
     live.turn()
-    assert whole(plug) == b"+PONG\r\n"  # and no reset
+    assert whole(sock) == b"+PONG\r\n"  # and no reset
     assert (
         not live.proxy.active_requests and live.proxy.metrics.totals()["completed"] == 0
     )  # nor is it carried out
-    plug.close()
+    sock.close()
     live.until(lambda: not live.proxy.clients.connections)  # its end is waited for no longer than it takes
 
 
 def test_an_answer_owed_while_emptying_is_followed_by_an_end_and_no_reset(live: Live) -> None:
     """Seventeen commands at once: one lies unread as the sixteenth answer goes out and all ends."""
-    plug = live.client()
-    commands = b"".join(ask(key=1) for _ in range(MAX_PIPELINED_COMMANDS))
-    plug.sendall(commands)
+    sock = live.client()
+    commands = b"".join(encode_request(key=1) for _ in range(MAX_PIPELINED_COMMANDS))
+    sock.sendall(commands)
     live.until(lambda: live.sent(MAX_PIPELINED_COMMANDS))
     stream = next(iter(live.proxy.clients.connections))
     assert len(stream.replies) == MAX_PIPELINED_COMMANDS and stream.reading_paused
     live.proxy.shutdown.begin()
     caches = [live.cache() for _ in range(MAX_PIPELINED_COMMANDS)]
-    plug.sendall(ask(key=1))
+    sock.sendall(encode_request(key=1))
     waits(stream.transport.get_extra_info("socket"), 1)
     for cache in caches:
-        cache.sendall(reply(b"last"))
+        cache.sendall(encode_reply(b"last"))
     live.until(lambda: live.proxy.metrics.totals()["completed"] == MAX_PIPELINED_COMMANDS)
     data = b""
     while len(data) < len(b"$4\r\nlast\r\n") * MAX_PIPELINED_COMMANDS:
-        data += plug.recv(1 << 16)
+        data += sock.recv(1 << 16)
     # What came before the shutdown is taken and answered; nothing else may be lost.
     live.turn()
     if not stream.closing:
         live.until(lambda: live.sent(MAX_PIPELINED_COMMANDS + 1))
-        live.cache().sendall(reply(b"last"))
+        live.cache().sendall(encode_reply(b"last"))
         live.until(lambda: stream.closing)
-    assert set((data + whole(plug)).split(b"$4\r\nlast\r\n")) == {b""}
+    assert set((data + whole(sock)).split(b"$4\r\nlast\r\n")) == {b""}
 
 
 def test_a_connection_that_is_reset_while_it_lingers_is_let_go(live: Live) -> None:
     """Its timer held it, and it the timer, until all that lives was looked through for what is out of use."""
-    plug = live.client()
-    plug.sendall(PING)
+    sock = live.client()
+    sock.sendall(PING)
     live.until(lambda: live.proxy.clients.idle)
     known = weakref.ref(next(iter(live.proxy.clients.idle)))
     gc.disable()
     try:
         known().close()
-        plug.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        plug.close()
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        sock.close()
         live.until(lambda: not live.proxy.clients.connections)
         live.turn(LINGER_S + 0.05)
         assert known() is None
@@ -214,35 +223,35 @@
 
 
 def test_a_lingering_connection_goes_for_the_next_and_ends_by_itself() -> None:
-    desk = Desk(sockets=40)  # eight connections
-    clients = [desk.client() for _ in range(8)]
+    harness = ProxyHarness(sockets=40)  # eight connections
+    clients = [harness.client() for _ in range(8)]
     for client in clients:
         client.feed(PING)
-    desk.proxy.clients.close_idle()
-    assert all(client.ended and client.open for client in clients)
-    assert desk.client() is not None and sum(client.open for client in clients) == 7
-    desk.loop.run(LINGER_S + 0.01)
+    harness.proxy.clients.close_idle()
+    assert all(client.eof_written and client.open for client in clients)
+    assert harness.client() is not None and sum(client.open for client in clients) == 7
+    harness.loop.advance(LINGER_S + 0.01)
     assert not any(client.open for client in clients)
 
 
 def test_one_that_has_gone_is_not_kept_as_lingering() -> None:
     """It would stand first where room is wanted, and give none."""
-    desk = Desk()
-    client = desk.client()
+    harness = ProxyHarness()
+    client = harness.client()
     client.abort()
     client.stream.close()
-    assert not desk.proxy.clients.closing and not desk.proxy.clients.connections
+    assert not harness.proxy.clients.closing and not harness.proxy.clients.connections
 
 
 def test_a_command_that_comes_slowly_is_no_rest() -> None:
     """Where many rest, connections that rest close: clients that write slowly lost theirs in mid-command."""
-    desk = Desk(sockets=48)
-    clients, data = [desk.client() for _ in range(6)], ask()
+    harness = ProxyHarness(sockets=48)
+    clients, data = [harness.client() for _ in range(6)], encode_request()
     for client in clients:
         client.feed(data[:10])
-    desk.proxy.upkeep()
-    desk.loop.run(4 * IDLE_ALLOWANCE_S)
-    assert all(client.open and not client.ended for client in clients)
+    harness.proxy.upkeep()
+    harness.loop.advance(4 * IDLE_ALLOWANCE_S)
+    assert all(client.open and not client.eof_written for client in clients)
 
 
 # A client leaves
@@ -250,16 +259,16 @@
 
 def test_a_departure_is_seen_while_reading_is_paused(live: Live) -> None:
     """A client sends much at once and goes: command after command was sent on for it."""
-    plug = live.client()
-    plug.sendall(b"".join(ask(key=1) for _ in range(4 * MAX_PIPELINED_COMMANDS)))
+    sock = live.client()
+    sock.sendall(b"".join(encode_request(key=1) for _ in range(4 * MAX_PIPELINED_COMMANDS)))
     live.until(lambda: live.sent(MAX_PIPELINED_COMMANDS))
     stream = next(iter(live.proxy.clients.connections))
     caches = [live.cache() for _ in range(MAX_PIPELINED_COMMANDS)]
-    gone(plug, stream)
+    gone(sock, stream)
     assert stream.reading_paused and not stream.closed  # it has gone, and nothing tells the loop
     sent = live.proxy.metrics.attempts_sent
     for cache in caches:
-        cache.sendall(reply())
+        cache.sendall(encode_reply())
     live.until(lambda: not live.proxy.active_requests)
     live.turn()
     assert live.proxy.metrics.attempts_sent == sent
@@ -268,11 +277,11 @@
 
 
 def test_a_paused_client_that_left_holds_nothing_for_long(live: Live) -> None:
-    plug = live.client()
-    plug.sendall(b"".join(ask(key=1) for _ in range(4 * MAX_PIPELINED_COMMANDS)))
+    sock = live.client()
+    sock.sendall(b"".join(encode_request(key=1) for _ in range(4 * MAX_PIPELINED_COMMANDS)))
     live.until(lambda: live.sent(MAX_PIPELINED_COMMANDS))
     stream = next(iter(live.proxy.clients.connections))
-    gone(plug, stream)
+    gone(sock, stream)
     assert stream.reading_paused and not stream.closed
     live.proxy.upkeep()  # no answer has come from anywhere
     assert stream.closed and not live.proxy.active_requests and not live.proxy.clients.held_bytes
@@ -281,17 +290,19 @@
 @pytest.mark.parametrize("cancel", [True, False])
 def test_nothing_is_sent_for_a_client_that_left_before_a_connection_came_up(cancel: bool) -> None:
     """Where caches take no cancelling, the command went out with the connection, long after its client."""
-    desk = Desk(caps=SETTINGS["caps"] | {"cancel": cancel}).spacious()
-    client = desk.client()
-    client.feed(ask())
-    assert len(desk.loop.opened) == 1 and desk.proxy.active_requests  # decided; its connection is on the way
+    harness = ProxyHarness(caps=SETTINGS["caps"] | {"cancel": cancel}).with_high_limits()
+    client = harness.client()
+    client.feed(encode_request())
+    assert (
+        len(harness.loop.connect_requests) == 1 and harness.proxy.active_requests
+    )  # decided; its connection is on the way
     client.abort()
-    desk.loop.run(0.15)
-    assert not desk.proxy.active_requests
-    for stream, _ in desk.loop.opened:
+    harness.loop.advance(0.15)
+    assert not harness.proxy.active_requests
+    for stream, _ in harness.loop.connect_requests:
         if not stream.closed:
-            assert not Wire(stream).sent
-    assert not desk.proxy.router.active_requests and desk.proxy.metrics.attempts_sent == 0
+            assert not FakeTransport(stream).sent
+    assert not harness.proxy.router.active_requests and harness.proxy.metrics.attempts_sent == 0
 
 
 # A connection to a cache comes up late
@@ -299,48 +310,50 @@
 
 def test_what_a_late_command_tells_its_cache_is_what_is_left() -> None:
     """It told the time that was left when the connection was asked for, more than a second before."""
-    desk = Desk(caps=SETTINGS["caps"] | {"dialTimeoutNs": 2_000_000_000}).spacious()
-    client = desk.client()
-    client.feed(ask("order", patience="1500"))
-    desk.loop.run(1.2)
-    line = desk.line()
-    told = int(line.sent.split(b"d=")[1].split(b",")[0])
+    harness = ProxyHarness(caps=SETTINGS["caps"] | {"dialTimeoutNs": 2_000_000_000}).with_high_limits()
+    client = harness.client()
+    client.feed(encode_request("order", remaining_ms="1500"))
+    harness.loop.advance(1.2)
+    upstream = harness.connect_upstream()
+    told = int(upstream.sent.split(b"d=")[1].split(b",")[0])
     assert 290 <= told <= 300
-    line.feed(reply(b"late"))
+    upstream.feed(encode_reply(b"late"))
     assert client.sent == b"$4\r\nlate\r\n"
 
 
 def test_nothing_leaves_in_the_instant_in_which_its_time_is_over() -> None:
     """Both came due in one turn, and the connection was first."""
-    desk = Desk(caps=SETTINGS["caps"] | {"dialTimeoutNs": 2_000_000_000}).spacious()
-    client = desk.client()
-    client.feed(ask("order", patience="1500"))
-    desk.loop.clock += 1.5  # the timer is due and has not fired
-    line = desk.line()
-    assert not line.sent and not client.sent
-    desk.loop.run(0.01)
+    harness = ProxyHarness(caps=SETTINGS["caps"] | {"dialTimeoutNs": 2_000_000_000}).with_high_limits()
+    client = harness.client()
+    client.feed(encode_request("order", remaining_ms="1500"))
+    harness.loop.clock += 1.5  # the timer is due and has not fired
+    upstream = harness.connect_upstream()
+    assert not upstream.sent and not client.sent
+    harness.loop.advance(0.01)
     assert (
         client.sent.startswith(b"-BUSY")
         and client.sent.count(b"\r\n") == 1
-        and not desk.proxy.active_requests
+        and not harness.proxy.active_requests
     )
 
 
 def test_a_repeat_whose_window_passed_on_the_way_is_not_sent() -> None:
     """Decided within 300 ms of the first transmission, it left when the connection came up, after them."""
     methods = [method | {"windowNs": 300_000_000} for method in SETTINGS["methods"]]
-    desk = Desk(methods=methods, caps=SETTINGS["caps"] | {"dialTimeoutNs": 2_000_000_000}).spacious()
-    client = desk.client()
-    client.feed(ask("save"))
-    desk.line().feed(b"-ERR failed\r\n")  # it may have run
-    assert len(desk.loop.opened) == 2  # the repeat is decided
-    desk.loop.run(0.35)
-    assert not desk.line().sent
-    desk.loop.run(0.01)
+    harness = ProxyHarness(
+        methods=methods, caps=SETTINGS["caps"] | {"dialTimeoutNs": 2_000_000_000}
+    ).with_high_limits()
+    client = harness.client()
+    client.feed(encode_request("save"))
+    harness.connect_upstream().feed(b"-ERR failed\r\n")  # it may have run
+    assert len(harness.loop.connect_requests) == 2  # the repeat is decided
+    harness.loop.advance(0.35)
+    assert not harness.connect_upstream().sent
+    harness.loop.advance(0.01)
     assert (
         client.sent.count(b"\r\n") == 1
         and not client.sent.startswith(b"$")
-        and not desk.proxy.active_requests
+        and not harness.proxy.active_requests
     )
 
 
@@ -378,16 +391,18 @@
 
 @pytest.mark.parametrize("starved", [True, False])
 def test_a_want_of_our_own_descriptors_speaks_against_no_cache(starved: bool) -> None:
-    desk = Desk().spacious()
-    client = desk.client()
-    client.feed(ask())
-    before = len(desk.loop.opened)
-    stream, _ = desk.loop.opened[-1]
+    harness = ProxyHarness().with_high_limits()
+    client = harness.client()
+    client.feed(encode_request())
+    before = len(harness.loop.connect_requests)
+    stream, _ = harness.loop.connect_requests[-1]
     stream.lacked_local_resources = starved
     stream.abort()
     name = stream.pool.name
-    assert (desk.proxy.router.policy.endpoints.caches[name].admitted_fraction == 1.0) is starved
-    assert len(desk.loop.opened) == before + 1 and not client.sent  # the key's next cache is tried
+    assert (harness.proxy.router.policy.endpoints.caches[name].admitted_fraction == 1.0) is starved
+    assert (
+        len(harness.loop.connect_requests) == before + 1 and not client.sent
+    )  # the key's next cache is tried
 
 
 # SIGTERM
@@ -395,17 +410,17 @@
 
 def test_what_waits_in_the_backlog_is_taken_and_answered(live: Live) -> None:
     """The listener closed with connections that the system had accepted: they were reset with their RPCs."""
-    plugs = [live.client(accepted=False) for _ in range(5)]
-    for plug in plugs:
-        plug.sendall(ask(key=1))
+    open_sockets = [live.client(accepted=False) for _ in range(5)]
+    for sock in open_sockets:
+        sock.sendall(encode_request(key=1))
     assert not live.proxy.clients.connections  # none is taken yet
     live.proxy.shutdown.begin()
     live.proxy.stop_listening()
-    live.until(lambda: live.sent(len(plugs)))
-    for _ in plugs:
-        live.cache().sendall(reply(b"last"))
-    live.until(lambda: live.proxy.metrics.totals()["completed"] == len(plugs))
-    assert [whole(plug) for plug in plugs] == [b"$4\r\nlast\r\n"] * 5
+    live.until(lambda: live.sent(len(open_sockets)))
+    for _ in open_sockets:
+        live.cache().sendall(encode_reply(b"last"))
+    live.until(lambda: live.proxy.metrics.totals()["completed"] == len(open_sockets))
+    assert [whole(sock) for sock in open_sockets] == [b"$4\r\nlast\r\n"] * 5
     with pytest.raises(ConnectionRefusedError):
         live.client(accepted=False)
 
@@ -440,35 +455,35 @@
 
 
 def test_half_a_command_at_the_end_of_rest_gets_its_answer(live: Live) -> None:
-    plug, data = live.client(), ask(key=1)
-    plug.sendall(data[:30])
+    sock, data = live.client(), encode_request(key=1)
+    sock.sendall(data[:30])
     live.until(lambda: live.proxy.clients.partial)
     live.proxy.shutdown.begin()
     live.proxy.clients.close_idle()
-    plug.sendall(data[30:])
+    sock.sendall(data[30:])
     live.until(lambda: live.sent(1))
-    live.cache().sendall(reply(b"last"))
+    live.cache().sendall(encode_reply(b"last"))
     live.until(lambda: live.proxy.metrics.totals()["completed"] == 1)
-    assert whole(plug) == b"$4\r\nlast\r\n"
+    assert whole(sock) == b"$4\r\nlast\r\n"
 
 
 def test_all_is_answered_before_a_kill_that_comes_early_where_deadlines_are_short() -> None:
     """SIGKILL comes 0.7 s behind the longest deadline: at 1.3 s here, while emptying took 3.6 s."""
-    desk = Desk(methods=SHORT).spacious()
-    desk.proxy.upkeep()
-    late, slow = desk.client(), desk.client()
-    late.feed(ask()[:30])  # never whole
-    data = ask(patience="600")
+    harness = ProxyHarness(methods=SHORT).with_high_limits()
+    harness.proxy.upkeep()
+    late, slow = harness.client(), harness.client()
+    late.feed(encode_request()[:30])  # never whole
+    data = encode_request(remaining_ms="600")
     slow.feed(data[:30])
-    desk.sigterm()
-    desk.loop.run(0.75)
+    harness.sigterm()
+    harness.loop.advance(0.75)
     slow.feed(data[30:])
-    desk.line()  # a cache that says nothing
-    assert desk.proxy.active_requests and not late.sent
-    desk.loop.run(0.4)
-    assert slow.sent.startswith(b"-") and late.sent.startswith(b"-ERR") and not desk.proxy.active_requests
-    desk.loop.run(0.12)
-    assert desk.proxy.stopped.done()
+    harness.connect_upstream()  # a cache that says nothing
+    assert harness.proxy.active_requests and not late.sent
+    harness.loop.advance(0.4)
+    assert slow.sent.startswith(b"-") and late.sent.startswith(b"-ERR") and not harness.proxy.active_requests
+    harness.loop.advance(0.12)
+    assert harness.proxy.stopped.done()
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
@@ -478,9 +493,9 @@
 ) -> None:
     """SIGHUP on the way up killed the process: by default it ends one."""
     with socket.create_server(("127.0.0.1", 0)) as agent:
-        with socket.create_server(("127.0.0.1", 0)) as plug:
-            listen = at(plug)
-        node = Desk.node(0) | {"listen": listen, "discovery": at(agent)}
+        with socket.create_server(("127.0.0.1", 0)) as sock:
+            listen = at(sock)
+        node = ProxyHarness.node_file(0) | {"listen": listen, "discovery": at(agent)}
         (tmp_path / "node.json").write_text(json.dumps(node))
         process = subprocess.Popen(
             [sys.executable, "-m", "calicofall", "serve"],
@@ -521,8 +536,8 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def watching() -> tuple[Loop, Discovery, list]:
-    loop, told = Loop(), []
+def watching() -> tuple[FakeEventLoop, Discovery, list]:
+    loop, told = FakeEventLoop(), []
     discovery = Discovery(
         loop,
         loop.open,
@@ -544,31 +559,33 @@
     news = json.dumps(
         {"index": 42, "snapshot": True, "endpoints": [endpoint('c1"{['), endpoint("c2")]}, indent=2
     ).encode()
-    data = HEAD + b"".join(map(chunk, (news + b"\n", b"\n", LISTED % 43, news.replace(b"42", b"44") + b"\n")))
-    wire = Wire(loop.opened[-1][0])
+    data = CHUNKED_RESPONSE_HEAD + b"".join(
+        map(chunk, (news + b"\n", b"\n", LISTED % 43, news.replace(b"42", b"44") + b"\n"))
+    )
+    transport = FakeTransport(loop.connect_requests[-1][0])
     while data:
-        wire.feed(data[:piece])
+        transport.feed(data[:piece])
         data = data[piece:]
-    assert told == [42, 43, 44] and wire.open and len(loop.opened) == 1
+    assert told == [42, 43, 44] and transport.open and len(loop.connect_requests) == 1
 
 
 def test_half_a_message_swallows_nothing_that_comes_behind_it() -> None:
     loop, discovery, told = watching()
-    wire = Wire(loop.opened[-1][0])
-    wire.feed(HEAD + chunk(b'{"index": 42, "endpoints": [\n'))
-    assert wire.open and not told
-    wire.feed(chunk(b"\n"))  # the sign of life of a watch that has nothing more to say
-    assert not wire.open and discovery.is_down
+    transport = FakeTransport(loop.connect_requests[-1][0])
+    transport.feed(CHUNKED_RESPONSE_HEAD + chunk(b'{"index": 42, "endpoints": [\n'))
+    assert transport.open and not told
+    transport.feed(chunk(b"\n"))  # the sign of life of a watch that has nothing more to say
+    assert not transport.open and discovery.is_down
 
 
 def test_a_former_watch_says_nothing_behind_a_later_one() -> None:
     """Old bytes of a watch that was replaced: its list would stand until the next change."""
     loop, discovery, told = watching()
-    old = loop.opened[-1][0]
-    Wire(old).feed(HEAD + chunk(LISTED % 42))
+    old = loop.connect_requests[-1][0]
+    FakeTransport(old).feed(CHUNKED_RESPONSE_HEAD + chunk(LISTED % 42))
     discovery.watch = None  # as while the next one is opened
     discovery.attempt()
-    assert loop.opened[-1][0] is not old and not old.closed
+    assert loop.connect_requests[-1][0] is not old and not old.closed
     old.transport.feed(chunk(LISTED % 7))
     assert told == [42] and discovery.version == 42
 
@@ -578,13 +595,13 @@
     loop, discovery, _ = watching()
     gaps, last = [], 0.0
     for _ in range(6):  # it takes connections, and says nothing
-        wire = Wire(loop.opened[-1][0])
-        tried = len(loop.opened)
-        while wire.open:
-            loop.run(0.01)
+        transport = FakeTransport(loop.connect_requests[-1][0])
+        tried = len(loop.connect_requests)
+        while transport.open:
+            loop.advance(0.01)
         last = loop.time()
-        while len(loop.opened) == tried:
-            loop.run(0.01)
+        while len(loop.connect_requests) == tried:
+            loop.advance(0.01)
         gaps.append(loop.time() - last)
     assert max(gaps) < 0.15
 
@@ -594,16 +611,16 @@
 
 def test_an_answer_that_breaks_off_is_told_to_the_module() -> None:
     """Suspected of being kept from it; found sound."""
-    desk, value = Desk().spacious(), Random(1).randbytes(100_000)
-    client = desk.client()
-    client.feed(ask())
-    line = desk.line()
-    policy = desk.proxy.router.policy
-    line.feed(reply(value)[:60_000])
+    harness, value = ProxyHarness().with_high_limits(), Random(1).randbytes(100_000)
+    client = harness.client()
+    client.feed(encode_request())
+    upstream = harness.connect_upstream()
+    policy = harness.proxy.router.policy
+    upstream.feed(encode_reply(value)[:60_000])
     assert client.sent.startswith(b"$100000\r\n") and not sum(policy.outliers.resets.sums)
-    line.abort()
+    upstream.abort()
     assert sum(policy.outliers.resets.sums) == 1.0 and not policy.fleet.held
-    assert not client.open and not desk.proxy.active_requests and not desk.proxy.router.active_requests
+    assert not client.open and not harness.proxy.active_requests and not harness.proxy.router.active_requests
 
 
 # A fault of our own
@@ -611,10 +628,10 @@
 
 def test_a_fault_in_one_round_of_upkeep_does_not_end_it() -> None:
     """The next round was asked for last: silent clients and half commands would have been kept for good."""
-    desk, silent = Desk(), None
-    sweep, desk.proxy.clients.close_overdue = desk.proxy.clients.close_overdue, lambda: 1 / 0
+    harness, silent = ProxyHarness(), None
+    sweep, harness.proxy.clients.close_overdue = harness.proxy.clients.close_overdue, lambda: 1 / 0
     with pytest.raises(ZeroDivisionError):
-        desk.proxy.upkeep()
-    desk.proxy.clients.close_overdue, silent = sweep, desk.client()
-    desk.loop.run(3.0)
+        harness.proxy.upkeep()
+    harness.proxy.clients.close_overdue, silent = sweep, harness.client()
+    harness.loop.advance(3.0)
     assert not silent.open
--- a/tests/test_hot_keys.py
+++ b/tests/test_hot_keys.py
@@ -135,24 +135,24 @@
 
 
 def test_proxy_counts_requests_answers_queries_and_reports_hot_keys(caplog: pytest.LogCaptureFixture) -> None:
-    desk = Lending(witnesses=True)
-    witnesses = desk.proxy.outliers
+    harness = Lending(witnesses=True)
+    witnesses = harness.proxy.outliers
     assert witnesses.hot_keys is not None
-    assert "popular.found:0" in desk.proxy.handle_call("verdicts")
+    assert "popular.found:0" in harness.proxy.handle_call("verdicts")
     for _ in range(3):
         witnesses.on_request(7)
     said: list[tuple[int, KeyCountMessage]] = []
     witnesses.send = lambda peer, word: said.append((peer, word))
     witnesses.on_message(KeyCountMessage(True, 2, 9, 77, 7, 1, 1000))
     assert [(peer, word.requests) for peer, word in said] == [(2, 3)]
-    witnesses.hot_keys.keys[7] = HotKey(desk.loop.time() + 5.0, 250.0)
+    witnesses.hot_keys.keys[7] = HotKey(harness.loop.time() + 5.0, 250.0)
     witnesses.hot_keys.fresh.append(7)
     with caplog.at_level("INFO", "calicofall"):
         witnesses.wake()
         witnesses.timer.cancel()
         witnesses.wake()
     assert [(r.key, r.per_s) for r in caplog.records if r.message == "popular key"] == [("7", 250)]
-    assert "popular.7:per_s=250 ends_s=" in desk.proxy.handle_call("verdicts")
+    assert "popular.7:per_s=250 ends_s=" in harness.proxy.handle_call("verdicts")
     untold = Lending(witnesses=True, cachePerS=None)
     assert untold.proxy.outliers.hot_keys is None
     untold.proxy.outliers.on_message(KeyCountMessage(True, 2, 9, 77, 7, 1, 1000))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 import pytest
-from helpers import fleet
+from helpers import deployment_settings
 
 from calicofall.testbed.routing_simulation import RoutingSimulation, SimulatedRequest
 from calicofall.testbed.server_models import CacheModel, OriginModel
@@ -26,7 +26,14 @@
     for number in cold:
         built[number].start(0.001)
     out = RoutingSimulation(
-        fleet(proxies=proxies), built, origin, load * caches * SLOTS / HIT, keys, skew, zones=3, **more
+        deployment_settings(proxies=proxies),
+        built,
+        origin,
+        load * caches * SLOTS / HIT,
+        keys,
+        skew,
+        zones=3,
+        **more,
     )
     if warm:
         out.warm()
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import Desk, ask, endpoint, reply
+from helpers import ProxyHarness, encode_reply, encode_request, endpoint
 
 from calicofall.proxy import graceful_shutdown, resp
 from calicofall.proxy import process_lock as leases
@@ -89,39 +89,39 @@
     assert not list(tmp_path.iterdir())
 
 
-def pair(tmp_path: Path, desk: Desk) -> ProcessLock:
-    desk.proxy.process_lock = ProcessLock("n0", str(tmp_path))
+def pair(tmp_path: Path, harness: ProxyHarness) -> ProcessLock:
+    harness.proxy.process_lock = ProcessLock("n0", str(tmp_path))
     other = ProcessLock("n0", str(tmp_path))
     other.mark_serving()
     return other
 
 
 def test_two_processes_keep_to_the_limits_of_one(tmp_path: Path) -> None:
-    desk = Desk(caches=3, sockets=256).spacious()
-    clients = [desk.client() for _ in range(120)]
+    harness = ProxyHarness(caches=3, sockets=256).with_high_limits()
+    clients = [harness.client() for _ in range(120)]
     for client in clients:
         client.feed(resp.encode_command([b"PING"]))
-    desk.proxy.clients.close_excess_idle = lambda: None
+    harness.proxy.clients.close_excess_idle = lambda: None
     busy = clients[:30]
     for number, client in enumerate(busy):
-        client.feed(ask(key=number))
-    lines = [desk.line(number) for number in range(len(desk.loop.opened))]
-    assert desk.proxy.upstreams.connection_count() == 30
-    other = pair(tmp_path, desk)
-    desk.proxy.adjust_to_processes()
+        client.feed(encode_request(key=number))
+    upstreams = [harness.connect_upstream(number) for number in range(len(harness.loop.connect_requests))]
+    assert harness.proxy.upstreams.connection_count() == 30
+    other = pair(tmp_path, harness)
+    harness.proxy.adjust_to_processes()
     most = 256 // 2 - RESERVED_DESCRIPTORS
-    assert len(desk.proxy.clients.connections) + desk.proxy.upstreams.connection_count() <= most
+    assert len(harness.proxy.clients.connections) + harness.proxy.upstreams.connection_count() <= most
     assert all(client.open for client in busy)  # what rests goes, the longest first
-    assert desk.proxy.router.policy.settings.process_count == 2
-    for line in lines:
-        line.feed(reply())
+    assert harness.proxy.router.policy.settings.process_count == 2
+    for upstream in upstreams:
+        upstream.feed(encode_reply())
     assert all(client.sent.endswith(b"$5\r\nfresh\r\n") for client in busy)
-    assert desk.proxy.clients.read_ahead_bytes < Desk().proxy.clients.read_ahead_bytes
+    assert harness.proxy.clients.read_ahead_bytes < ProxyHarness().proxy.clients.read_ahead_bytes
     other.release()
-    desk.proxy.adjust_to_processes()
+    harness.proxy.adjust_to_processes()
     assert (
-        desk.proxy.clients.max_connections == 256 - RESERVED_DESCRIPTORS
-        and desk.proxy.router.policy.settings.process_count == 1
+        harness.proxy.clients.max_connections == 256 - RESERVED_DESCRIPTORS
+        and harness.proxy.router.policy.settings.process_count == 1
     )
 
 
@@ -129,15 +129,17 @@
     """The new process knows nothing of what the old one sends: each takes half of the part."""
     sent = {}
     for parts in (1, 2):
-        desk = Desk(caches=2).spacious()
-        policy = desk.proxy.router.policy
-        desk.list(endpoint("c1") | {"since_ms": desk.proxy.now_ms()}, endpoint("c3") | {"since_ms": 1})
-        desk.proxy.router.set_process_count(parts)
+        harness = ProxyHarness(caches=2).with_high_limits()
+        policy = harness.proxy.router.policy
+        harness.push_endpoint_list(
+            endpoint("c1") | {"since_ms": harness.proxy.now_ms()}, endpoint("c3") | {"since_ms": 1}
+        )
+        harness.proxy.router.set_process_count(parts)
         cold = policy.endpoints.caches["c1"]
         cold.warming_requests = type("Wishes", (), {"add": lambda *_: None, "count": lambda *_: 0.0})()
         policy.key_counts.counts[0][7] = 10
         sent[parts] = sum(
-            policy.slow_start.admits(desk.proxy.now_ms(), 7, cold, policy.random_generator)
+            policy.slow_start.admits(harness.proxy.now_ms(), 7, cold, policy.random_generator)
             for _ in range(20_000)
         )
     assert sent[1] > 200 and 0.4 < sent[2] / sent[1] < 0.6
@@ -157,39 +159,41 @@
 
 def test_sigterm_hands_over_to_a_process_that_serves(tmp_path: Path) -> None:
     """Connections that the listener held were reset, and each resting one was closed while requests came."""
-    desk = Desk().spacious()
-    desk.proxy.upkeep()
-    desk.proxy.listener = Door(desk.proxy.clients)
-    other = pair(tmp_path, desk)
-    resting, busy, probe = desk.client(), desk.client(), desk.client()
+    harness = ProxyHarness().with_high_limits()
+    harness.proxy.upkeep()
+    harness.proxy.listener = Door(harness.proxy.clients)
+    other = pair(tmp_path, harness)
+    resting, busy, probe = harness.client(), harness.client(), harness.client()
     resting.feed(resp.encode_command([b"PING"]))
-    busy.feed(ask())
-    desk.sigterm()
-    assert desk.proxy.listener.steps == ["close"]  # in the same turn, with all that it held (test_endings.py)
+    busy.feed(encode_request())
+    harness.sigterm()
+    assert harness.proxy.listener.steps == [
+        "close"
+    ]  # in the same turn, with all that it held (test_endings.py)
     probe.feed(resp.encode_command([b"PING"]))
-    assert probe.sent == b"+PONG\r\n" and probe.ended  # this proxy goes on: its other process serves
-    desk.line().feed(reply(b"last"))
-    assert busy.sent == b"$4\r\nlast\r\n" and busy.ended
+    assert probe.sent == b"+PONG\r\n" and probe.eof_written  # this proxy goes on: its other process serves
+    harness.connect_upstream().feed(encode_reply(b"last"))
+    assert busy.sent == b"$4\r\nlast\r\n" and busy.eof_written
     # They rest as long as they may, within what is left before a kill: deadlines are 2 s at most here.
-    desk.loop.run(
+    harness.loop.advance(
         min(graceful_shutdown.REPLACED_IDLE_CLOSE_DELAY_S, 2.0 + graceful_shutdown.OVERDUE_CLOSE_DELAY_S)
         - 0.01
     )
-    assert resting.open and not resting.ended and not desk.proxy.stopped.done()
-    desk.loop.run(0.5)
-    assert not resting.open and desk.proxy.stopped.done()
+    assert resting.open and not resting.eof_written and not harness.proxy.stopped.done()
+    harness.loop.advance(0.5)
+    assert not resting.open and harness.proxy.stopped.done()
     other.release()
 
 
 def test_sigterm_goes_on_taking_connections_while_the_other_process_only_starts(tmp_path: Path) -> None:
-    desk = Desk()
-    desk.proxy.listener = Door(desk.proxy.clients)
-    desk.proxy.process_lock = ProcessLock("n0", str(tmp_path))
+    harness = ProxyHarness()
+    harness.proxy.listener = Door(harness.proxy.clients)
+    harness.proxy.process_lock = ProcessLock("n0", str(tmp_path))
     ProcessLock("n0", str(tmp_path))
-    desk.sigterm()
-    assert not desk.proxy.listener.steps and desk.proxy.clients.denies_ping
-    desk.loop.run(1.0)
-    assert desk.proxy.listener.steps == ["close"]
+    harness.sigterm()
+    assert not harness.proxy.listener.steps and harness.proxy.clients.denies_ping
+    harness.loop.advance(1.0)
+    assert harness.proxy.listener.steps == ["close"]
 
 
 def test_a_folder_that_went_with_its_last_process_is_made_anew(
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 import pytest
-from helpers import SETTINGS, Desk, ask, fleet
+from helpers import SETTINGS, ProxyHarness, deployment_settings, encode_request
 
 from calicofall.fleet.quota_leases import LENT_OF_RATES, ROUND, UNITS, QuotaLeaseMessage
 from calicofall.proxy.quota_enforcement import MAX_CLOCK_DRIFT, WARM_UP_LIMIT
@@ -17,7 +17,7 @@
 RATE = peer_messages.name_digest("rate/acme")
 
 
-class Lending(Desk):
+class Lending(ProxyHarness):
     """A proxy of four, its peers by hand."""
 
     def __init__(self, **start: Any) -> None:
@@ -35,8 +35,8 @@
             self.limits.send = lambda peer, word: self.said.append((peer, word))
             self.limits.live_members = lambda: [1, 2, 3]
 
-    def node(self, *values: int, **settings: object) -> dict:
-        return Desk.node(*values, **settings) | {
+    def node_file(self, *values: int, **settings: object) -> dict:
+        return ProxyHarness.node_file(*values, **settings) | {
             "start": self.start,
             "settings": SETTINGS | {"balancers": 4, "zone": "a"},
         }
@@ -58,93 +58,95 @@
                         False, peer, 40 + peer, word.mark, word.limit, word.units, word.question
                     )
                 )
-            self.loop.run(ROUND)
+            self.loop.advance(ROUND)
 
 
 def test_a_proxy_begins_with_what_a_former_incarnation_cannot_have_lent_and_has_its_own_later() -> None:
-    desk = Lending()
-    assert desk.quota() == pytest.approx(500.0 / 4 * (1.0 - LENT_OF_RATES), rel=1e-3)
-    desk.loop.run(3.0 * (1.0 + MAX_CLOCK_DRIFT) ** 2 + 0.01)
-    desk.limits.refresh_if_due()
-    assert desk.quota() == pytest.approx(500.0 / 4, rel=1e-3)
-    assert desk.proxy.router.policy.slow_start.told_rate * 1000.0 * 3.0 == pytest.approx(400.0 / 4, rel=1e-3)
+    harness = Lending()
+    assert harness.quota() == pytest.approx(500.0 / 4 * (1.0 - LENT_OF_RATES), rel=1e-3)
+    harness.loop.advance(3.0 * (1.0 + MAX_CLOCK_DRIFT) ** 2 + 0.01)
+    harness.limits.refresh_if_due()
+    assert harness.quota() == pytest.approx(500.0 / 4, rel=1e-3)
+    assert harness.proxy.router.policy.slow_start.told_rate * 1000.0 * 3.0 == pytest.approx(
+        400.0 / 4, rel=1e-3
+    )
 
 
 def test_what_comes_here_is_asked_for_and_lapses_with_its_loan() -> None:
-    desk = Lending()
-    desk.loop.run(4.0)
-    desk.busy(16, 60)  # 240 a second, of 500 for four
-    assert desk.quota() > 240.0
-    assert any(line.startswith("limit.rate/acme:part=0.") for line in desk.limits.format_lines())
-    assert "limit.cold:" in desk.proxy.handle_call("limits")
-    desk.limits.timer.cancel()  # nothing wakes it any more
-    desk.loop.run(3.1)
+    harness = Lending()
+    harness.loop.advance(4.0)
+    harness.busy(16, 60)  # 240 a second, of 500 for four
+    assert harness.quota() > 240.0
+    assert any(line.startswith("limit.rate/acme:part=0.") for line in harness.limits.format_lines())
+    assert "limit.cold:" in harness.proxy.handle_call("limits")
+    harness.limits.timer.cancel()  # nothing wakes it any more
+    harness.loop.advance(3.1)
     # Right before the next RPC it is looked at.
-    client = desk.client()
-    client.feed(ask("read"))
-    assert desk.quota() == pytest.approx(125.0, rel=1e-3)
+    client = harness.client()
+    client.feed(encode_request("read"))
+    assert harness.quota() == pytest.approx(125.0, rel=1e-3)
 
 
 def test_demand_is_told_by_time_however_many_limits_wake_a_proxy() -> None:
     """A hundred RPCs a second of a tenant, five tenants' rates beside it, timers left alone."""
     realms = [{"name": name, "quotaPerS": 500.0, "share": 0.1} for name in ("acme", *"bcdef")]
-    desk = Lending()
-    desk.proxy.apply_settings(desk.proxy.node["settings"] | {"realms": realms})
-    desk.limits.wake()
+    harness = Lending()
+    harness.proxy.apply_settings(harness.proxy.node["settings"] | {"realms": realms})
+    harness.limits.wake()
     told = []
     for number in range(700):
-        desk.limits.count_request("acme")
-        desk.loop.run(0.01)
+        harness.limits.count_request("acme")
+        harness.loop.advance(0.01)
         if number > 300:
-            told.append(desk.limits.leases[RATE].wants / UNITS * 500.0)
+            told.append(harness.limits.leases[RATE].wants / UNITS * 500.0)
     assert min(told) > 85.0 and max(told) < 115.0
 
 
 def test_what_is_lent_is_not_used_here_before_the_answer_leaves() -> None:
-    desk, quotas = Lending(), []
-    desk.loop.run(4.0)
-    desk.limits.send = lambda peer, word: quotas.append((word, desk.quota()))
-    desk.limits.on_message(QuotaLeaseMessage(True, 2, 9, 77, RATE, UNITS // 8))
+    harness, quotas = Lending(), []
+    harness.loop.advance(4.0)
+    harness.limits.send = lambda peer, word: quotas.append((word, harness.quota()))
+    harness.limits.on_message(QuotaLeaseMessage(True, 2, 9, 77, RATE, UNITS // 8))
     ((answer, quota),) = quotas
     assert answer.units == UNITS // 8 and quota == pytest.approx(500.0 / 8, rel=1e-3)
-    desk.limits.on_message(
+    harness.limits.on_message(
         QuotaLeaseMessage(True, 2, 9, 78, peer_messages.name_digest("rate/other"), UNITS // 8)
     )
     assert len(quotas) == 1  # of a limit that it does not know
 
 
 def test_a_version_with_another_quota_keeps_the_parts() -> None:
-    desk = Lending()
-    desk.loop.run(4.0)
-    parts = desk.limits.leases[RATE]
-    desk.limits.on_message(QuotaLeaseMessage(True, 2, 9, 77, RATE, UNITS // 8))
-    desk.proxy.apply_settings(
-        desk.proxy.node["settings"] | {"realms": [{"name": "acme", "quotaPerS": 100.0, "share": 1.0}]}
+    harness = Lending()
+    harness.loop.advance(4.0)
+    parts = harness.limits.leases[RATE]
+    harness.limits.on_message(QuotaLeaseMessage(True, 2, 9, 77, RATE, UNITS // 8))
+    harness.proxy.apply_settings(
+        harness.proxy.node["settings"] | {"realms": [{"name": "acme", "quotaPerS": 100.0, "share": 1.0}]}
     )
-    assert desk.limits.leases[RATE] is parts and desk.quota() == pytest.approx(100.0 / 8, rel=1e-3)
-    assert peer_messages.name_digest(WARM_UP_LIMIT) in desk.limits.leases
+    assert harness.limits.leases[RATE] is parts and harness.quota() == pytest.approx(100.0 / 8, rel=1e-3)
+    assert peer_messages.name_digest(WARM_UP_LIMIT) in harness.limits.leases
 
 
 def test_a_pinned_limit_lends_and_borrows_no_more_and_what_runs_lapses() -> None:
-    desk = Lending()
-    desk.loop.run(4.0)
-    desk.busy(16, 60)
-    assert desk.quota() > 200.0
-    desk.proxy.apply_settings(desk.proxy.node["settings"] | {"pins": {"limits": ["rate/acme"]}})
-    desk.busy(16, 60)
-    assert desk.quota() == pytest.approx(125.0, rel=1e-3)
-    desk.limits.on_message(QuotaLeaseMessage(True, 2, 9, 77, RATE, UNITS // 8))
-    assert desk.said[-1][1].units == 0 and any(
-        line.endswith(" pinned") for line in desk.limits.format_lines()
+    harness = Lending()
+    harness.loop.advance(4.0)
+    harness.busy(16, 60)
+    assert harness.quota() > 200.0
+    harness.proxy.apply_settings(harness.proxy.node["settings"] | {"pins": {"limits": ["rate/acme"]}})
+    harness.busy(16, 60)
+    assert harness.quota() == pytest.approx(125.0, rel=1e-3)
+    harness.limits.on_message(QuotaLeaseMessage(True, 2, 9, 77, RATE, UNITS // 8))
+    assert harness.said[-1][1].units == 0 and any(
+        line.endswith(" pinned") for line in harness.limits.format_lines()
     )
 
 
 def test_without_lending_parts_are_fixed_and_nothing_is_asked() -> None:
-    desk = Lending()
-    del desk.start["lendS"]
-    fixed = Desk.__new__(Lending)
-    fixed.start = desk.start
-    Desk.__init__(fixed)
+    harness = Lending()
+    del harness.start["lendS"]
+    fixed = ProxyHarness.__new__(Lending)
+    fixed.start = harness.start
+    ProxyHarness.__init__(fixed)
     assert fixed.proxy.quotas is None and "limits" not in fixed.proxy.handle_call("limits")
     assert fixed.quota() == pytest.approx(125.0)
 
@@ -154,7 +156,7 @@
     """Eight modules; demand of five times the quota at a few, then at others."""
     quota, span = 80.0, 12.0
     sums = QuotaSimulation(8, 1)
-    told = fleet(proxies=8, tenants=[{"name": "acme", "quota": quota}])
+    told = deployment_settings(proxies=8, tenants=[{"name": "acme", "quota": quota}])
     policies = [RoutingPolicy(told, 1, 0.0) for _ in range(8)]
     random_generator, within, began = Random(3), 0, 6.0
     while sums.now < began + span:
@@ -175,13 +177,13 @@
 
 def test_whatever_members_say_nothing_raises_and_nothing_grows() -> None:
     """Words of the right form with any numbers in them, from members and others, in any order."""
-    desk, random_generator = Lending(witnesses=True), Random(5)
-    peers, limits = desk.proxy.gossip, desk.limits
+    harness, random_generator = Lending(witnesses=True), Random(5)
+    peers, limits = harness.proxy.gossip, harness.limits
     peers.transport = type(
         "Air", (), {"sendto": lambda self, data, place: None, "is_closing": lambda self: False}
     )()
     limits.send = peers.send
-    desk.proxy.outliers.wake()
+    harness.proxy.outliers.wake()
 
     def number_of() -> int:
         return random_generator.choice(
@@ -203,18 +205,20 @@
             marks = [
                 *peers.membership.marks,
                 *limits.leases[RATE].asked,
-                *desk.proxy.outliers.consensus.queries,
+                *harness.proxy.outliers.consensus.queries,
             ]
             word = word._replace(mark=random_generator.choice(marks)) if marks else word
         peers.datagram_received(peer_messages.encode_message("shop", word), ("x", 1))
         if random_generator.random() < 0.1:
             limits.count_request(f"made up {random_generator.random()}")
-            desk.loop.run(0.1)
+            harness.loop.advance(0.1)
     parts = limits.leases[RATE]
     assert (
-        parts.part(desk.loop.time()) <= UNITS and len(parts.lent) < 4096 and len(limits.request_windows) <= 2
+        parts.part(harness.loop.time()) <= UNITS
+        and len(parts.lent) < 4096
+        and len(limits.request_windows) <= 2
     )
     assert len(peers.membership.tales) <= 64 and len(peers.membership.met) == 3
-    assert set(desk.proxy.outliers.consensus.askers) <= {
+    assert set(harness.proxy.outliers.consensus.askers) <= {
         peer_messages.name_digest(name) for name in ("c1", "c2", "c3")
     }
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -5,7 +5,14 @@
 from typing import Any
 
 import pytest
-from helpers import HEAD, Air, Desk, Loop, Wire, endpoint
+from helpers import (
+    CHUNKED_RESPONSE_HEAD,
+    FakeDatagramTransport,
+    FakeEventLoop,
+    FakeTransport,
+    ProxyHarness,
+    endpoint,
+)
 
 from calicofall.fleet.list_freshness import (
     DIFFERENCE_REPORTED_AFTER_S,
@@ -150,7 +157,7 @@
 def test_gossip_socket_that_hears_of_a_later_list_answers_polls_and_logs_the_difference(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    loop: Any = Loop()  # a double for asyncio's
+    loop: Any = FakeEventLoop()  # a double for asyncio's
     polls: list[float] = []
     addresses = [("10.0.0.1", 1)] * 3
     gossip = GossipTransport(
@@ -159,7 +166,7 @@
     gossip.reopen_watch = polls.append
     gossip.list_freshness.own(loop.time(), 7, OLD_LIST)
 
-    socket: Any = Air()  # a double for asyncio's transport
+    socket: Any = FakeDatagramTransport()  # a double for asyncio's transport
     gossip.connection_made(socket)
     decoded = [peer_messages.decode_message(data, "shop", 3) for data in socket.sent]
     assert len([message for message in decoded if isinstance(message, ListDigestMessage)]) == 2
@@ -171,41 +178,43 @@
     assert isinstance(answer, ListDigestMessage)
     assert (answer.asks, answer.mark, answer.index, answer.digest) == (False, 55, 7, digest(OLD_LIST))
 
-    loop.run(0.6)
+    loop.advance(0.6)
     assert polls == [0.0]
 
     response = peer_messages.encode_message("shop", later._replace(asks=False))
     with caplog.at_level("WARNING", "calicofall"):
         for _ in range(8):
-            loop.run(0.9)
+            loop.advance(0.9)
             gossip.datagram_received(response, ("x", 1))
     assert [record.message for record in caplog.records] == ["lists differ"]
     assert any(line.startswith("list.differs:1 index=8") for line in gossip.format_lines())
 
 
 def test_once_more_with_a_live_watch_polls_again_and_keeps_the_list() -> None:
-    desk = Desk()
-    discovery = desk.proxy.discovery
+    harness = ProxyHarness()
+    discovery = harness.proxy.discovery
     discovery.start()
     watch = discovery.watch
     assert watch is not None
-    opened = len(desk.loop.opened)
+    opened = len(harness.loop.connect_requests)
 
     discovery.reopen(0.0)
-    assert len(desk.loop.opened) == opened  # it has polled, and was not answered: nothing is polled twice
+    assert (
+        len(harness.loop.connect_requests) == opened
+    )  # it has polled, and was not answered: nothing is polled twice
 
-    Wire(watch).feed(HEAD + b"1\r\n\n\r\n")
+    FakeTransport(watch).feed(CHUNKED_RESPONSE_HEAD + b"1\r\n\n\r\n")
     discovery.reopen(0.0)
     assert watch.closed
-    assert len(desk.loop.opened) == opened + 1
-    assert desk.proxy.upstreams.endpoint_names == {"c1", "c2", "c3"}
-    desk.list(endpoint("c1", "DRAINING"))
-    assert desk.proxy.upstreams.states()["c1"] == "draining"
+    assert len(harness.loop.connect_requests) == opened + 1
+    assert harness.proxy.upstreams.endpoint_names == {"c1", "c2", "c3"}
+    harness.push_endpoint_list(endpoint("c1", "DRAINING"))
+    assert harness.proxy.upstreams.states()["c1"] == "draining"
 
 
 def test_once_more_while_waiting_for_a_time_slot_keeps_the_slot() -> None:
     """If each message of a later list moved it, some of 300 that started together would never be served."""
-    loop: Any = Loop()  # a double for asyncio's
+    loop: Any = FakeEventLoop()  # a double for asyncio's
     slots = TimeSlots(299, 300, 10.0, 1000.0, 7_000.0)
     schedule = DiscoverySchedule(Random(1), 300, 5.0, slots)
     discovery = Discovery(
@@ -222,11 +231,11 @@
     loop.clock = 1025.0  # its first slot has passed: the next is at 1049.9
 
     discovery.start()
-    while not loop.opened and loop.time() < 1060.0:
-        loop.run(0.1)
+    while not loop.connect_requests and loop.time() < 1060.0:
+        loop.advance(0.1)
         parts = [number / 50 for number in range(1, 50)]  # what peers' messages may come to
         worst = max(parts, key=lambda part: slots.next(loop.time(), 2.0 * part))
         discovery.reopen(worst)
 
-    assert len(loop.opened) == 1
+    assert len(loop.connect_requests) == 1
     assert loop.time() < 1050.2
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from helpers import Air, Loop
+from helpers import FakeDatagramTransport, FakeEventLoop
 
 from calicofall.fleet.membership import (
     INDIRECT_PROBERS,
@@ -349,11 +349,11 @@
 
 
 def test_gossip_transport_answers_probes_and_logs_members_away(caplog: pytest.LogCaptureFixture) -> None:
-    loop = Loop()
+    loop = FakeEventLoop()
     peers = GossipTransport(
         loop, ContentionEstimate(0, 3, 10.0, Random(1)), "shop", 77, [("10.0.0.1", 1)] * 3, lambda: True
     )
-    peers.connection_made(air := Air())
+    peers.connection_made(air := FakeDatagramTransport())
     air.sent.clear()
     peers.datagram_received(
         peer_messages.encode_message("shop", MembershipProbe(ProbeKind.PROBE, 1, 5, 33, 1, 0, ())), ("x", 1)
@@ -368,7 +368,7 @@
     with caplog.at_level("INFO", "calicofall"):
         for _ in range(20):  # member 1 answers, member 2 never does
             air.sent.clear()
-            loop.run(0.5)
+            loop.advance(0.5)
             for word in [peer_messages.decode_message(data, "shop", 3) for data in air.sent]:
                 if isinstance(word, MembershipProbe) and word.kind == ProbeKind.PROBE:
                     marks = peers.membership.marks
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -11,7 +11,7 @@
 from random import Random
 
 import pytest
-from helpers import fleet
+from helpers import deployment_settings
 
 from calicofall.routing.actions import SendGossip
 from calicofall.routing.policy import RoutingPolicy
@@ -28,8 +28,8 @@
 
 
 def settings(new: bool, me: int) -> dict:
-    deployment = fleet(
-        aside=True, proxies=INSTANCES, me=me, tenants=[{"name": "acme", "quota": QUOTA, "share": 1.0}]
+    deployment = deployment_settings(
+        cache_aside=True, proxies=INSTANCES, me=me, tenants=[{"name": "acme", "quota": QUOTA, "share": 1.0}]
     )
     deployment["rules"] |= {"cold": 6000.0, "cold_share": 0.2, "fall_multiple": 3.0, "fall": FALL}
     for method in deployment["methods"]:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from helpers import HEAD, Desk, Loop, Wire, endpoint
+from helpers import CHUNKED_RESPONSE_HEAD, FakeEventLoop, FakeTransport, ProxyHarness, endpoint
 
 from calicofall.config.endpoint_list import parse_endpoint_list
 from calicofall.proxy import resp
@@ -187,8 +187,8 @@
     return out
 
 
-def watching() -> tuple[Loop, Discovery, list, Wire]:
-    loop, told = Loop(), []
+def watching() -> tuple[FakeEventLoop, Discovery, list, FakeTransport]:
+    loop, told = FakeEventLoop(), []
     discovery = Discovery(
         loop,
         loop.open,
@@ -200,21 +200,23 @@
         lambda phase: None,
     )
     discovery.start()
-    return loop, discovery, told, Wire(loop.opened[0][0])
+    return loop, discovery, told, FakeTransport(loop.connect_requests[0][0])
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_watch_is_read_in_chunks_cut_anywhere(seed: int) -> None:
     random_generator = Random(seed)
-    _, discovery, told, wire = watching()
-    assert wire.take().startswith(b"GET /api/targets?follow=1&since=41 HTTP/1.1\r\nHost: 10.2.0.1:8500\r\n")
-    data = HEAD
+    _, discovery, told, transport = watching()
+    assert transport.take().startswith(
+        b"GET /api/targets?follow=1&since=41 HTTP/1.1\r\nHost: 10.2.0.1:8500\r\n"
+    )
+    data = CHUNKED_RESPONSE_HEAD
     data += chunked(
         b"".join(LINE % (i + 42) + b"\n" * random_generator.randrange(3) for i in range(20)), random_generator
     )
     while data:
         part = random_generator.choice([1, 10, 500])
-        wire.feed(data[:part])
+        transport.feed(data[:part])
         data = data[part:]
     assert [index for _, index, _, _ in told] == list(range(42, 62)) and discovery.version == 61
     assert told[0] == ("full", 42, [("c1", "", "", 0, "ready", None, 0.0)], {"c1": "10.1.0.1:6379"})
@@ -226,45 +228,45 @@
         b"HTTP/1.1 503 No\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n",
         b"x" * 9000,
-        HEAD + b"zz\r\n",
-        HEAD + b"0\r\n\r\n",
-        HEAD + b"2\r\n{}xx\r\n",
-        HEAD + b"3\r\n{[\n\r\n",
-        HEAD + b"4\r\n[7]\n\r\n",
-        HEAD + b"fffffff\r\n",
+        CHUNKED_RESPONSE_HEAD + b"zz\r\n",
+        CHUNKED_RESPONSE_HEAD + b"0\r\n\r\n",
+        CHUNKED_RESPONSE_HEAD + b"2\r\n{}xx\r\n",
+        CHUNKED_RESPONSE_HEAD + b"3\r\n{[\n\r\n",
+        CHUNKED_RESPONSE_HEAD + b"4\r\n[7]\n\r\n",
+        CHUNKED_RESPONSE_HEAD + b"fffffff\r\n",
     ],
 )
 def test_a_broken_watch_is_opened_anew_from_the_last_list(data: bytes) -> None:
-    loop, discovery, told, wire = watching()
-    wire.feed(data)
-    assert not wire.open and told == ["failed"]
-    loop.run(1.0)
-    assert len(loop.opened) >= 2
-    again = Wire(loop.opened[-1][0])
+    loop, discovery, told, transport = watching()
+    transport.feed(data)
+    assert not transport.open and told == ["failed"]
+    loop.advance(1.0)
+    assert len(loop.connect_requests) >= 2
+    again = FakeTransport(loop.connect_requests[-1][0])
     assert b"since=41 " in again.sent
-    again.feed(HEAD + b"%x\r\n%b\r\n" % (len(LINE % 50), LINE % 50))
+    again.feed(CHUNKED_RESPONSE_HEAD + b"%x\r\n%b\r\n" % (len(LINE % 50), LINE % 50))
     assert told[-1][1] == 50 and not discovery.is_down
 
 
 def test_a_silent_watch_is_dead_and_asked_for_again() -> None:
     """Keep-alive notices nothing when discovery falls silent; its lines every two seconds do."""
-    loop, _, told, wire = watching()
-    wire.feed(HEAD)
+    loop, _, told, transport = watching()
+    transport.feed(CHUNKED_RESPONSE_HEAD)
     for _ in range(5):
-        loop.run(2.0)
-        wire.feed(b"1\r\n\n\r\n")
-    assert wire.open and len(loop.opened) == 1
-    loop.run(SILENCE_TIMEOUT_S + 0.1)
-    assert not wire.open and told == ["failed"]
-    loop.run(30.0)
-    assert 8 <= len(loop.opened) <= 14  # each try is given up, too, after the same time
+        loop.advance(2.0)
+        transport.feed(b"1\r\n\n\r\n")
+    assert transport.open and len(loop.connect_requests) == 1
+    loop.advance(SILENCE_TIMEOUT_S + 0.1)
+    assert not transport.open and told == ["failed"]
+    loop.advance(30.0)
+    assert 8 <= len(loop.connect_requests) <= 14  # each try is given up, too, after the same time
 
 
 def test_changes_older_than_what_is_known_are_ignored() -> None:
     """A service that had fallen behind brought back caches that were gone."""
-    _, discovery, told, wire = watching()
+    _, discovery, told, transport = watching()
     lines = [LINE % 60, LINE.replace(b"true", b"false") % 50, LINE.replace(b"true", b"false") % 61, LINE % 7]
-    wire.feed(HEAD + b"".join(b"%x\r\n%b\r\n" % (len(line), line) for line in lines))
+    transport.feed(CHUNKED_RESPONSE_HEAD + b"".join(b"%x\r\n%b\r\n" % (len(line), line) for line in lines))
     # a whole list always holds
     assert [index for _, index, _, _ in told] == [60, 61, 7] and discovery.version == 7
 
@@ -272,13 +274,13 @@
 @pytest.mark.parametrize("proxies,most", [(40, 60), (2, 30)])
 def test_watches_lost_together_do_not_keep_an_overbooked_service_jammed(proxies: int, most: int) -> None:
     """Forty proxies asked again within a second, each answered in vain after two: nobody heard any news."""
-    loop, tries = Loop(), []
+    loop, tries = FakeEventLoop(), []
 
-    def open_(_loop: Loop, stream: object, _place: tuple, _patience: float) -> None:
+    def open_(_loop: FakeEventLoop, stream: object, _place: tuple, _patience: float) -> None:
         tries.append(loop.time())
-        wire = Wire(stream)
+        transport = FakeTransport(stream)
         if len(tries) > proxies:  # the service is overbooked from the first loss on
-            loop.call_later(2.0, lambda: wire.open and wire.feed(b"HTTP/1.1 503 No\r\n\r\n"))
+            loop.call_later(2.0, lambda: transport.open and transport.feed(b"HTTP/1.1 503 No\r\n\r\n"))
 
     fleet = [
         Discovery(
@@ -297,20 +299,20 @@
         discovery.start()
     for discovery in fleet:
         discovery.watch.abort()
-    loop.run(1.9)
+    loop.advance(1.9)
     assert len(tries) == 2 * proxies  # a watch that broke off is opened again at once
     tries.clear()
-    loop.run(1.2)  # all are refused by then
+    loop.advance(1.2)  # all are refused by then
     assert len(tries) <= max(proxies / 2, 10)  # none in step
-    loop.run(9.0)
+    loop.advance(9.0)
     tries.clear()
-    loop.run(20.0)
+    loop.advance(20.0)
     assert 0 < len(tries) <= 2 * most
 
 
 def test_no_news_is_missed_for_long_where_a_watch_breaks_off_or_is_refused() -> None:
     """With 200 proxies the pause after a broken watch reached 7.5 s; drains told meanwhile were not kept."""
-    loop = Loop()
+    loop = FakeEventLoop()
     discovery = Discovery(
         loop,
         loop.open,
@@ -323,17 +325,17 @@
     )
     discovery.start()
     for wait in (0.15, 0.25, 0.45, 0.6, 0.6):  # the agent does not answer: asked soon, then twice a second
-        loop.opened[-1][0].abort()
-        tried = len(loop.opened)
-        loop.run(wait)
-        assert len(loop.opened) == tried + 1
+        loop.connect_requests[-1][0].abort()
+        tried = len(loop.connect_requests)
+        loop.advance(wait)
+        assert len(loop.connect_requests) == tried + 1
     for _ in range(6):  # it refuses: seldom, but sooner than what it has to tell binds
-        Wire(loop.opened[-1][0]).feed(b"HTTP/1.1 503 No\r\n\r\n")
-        tried = len(loop.opened)
-        loop.run(2.0)
-        assert len(loop.opened) == tried
-        loop.run(3.9)
-        assert len(loop.opened) == tried + 1
+        FakeTransport(loop.connect_requests[-1][0]).feed(b"HTTP/1.1 503 No\r\n\r\n")
+        tried = len(loop.connect_requests)
+        loop.advance(2.0)
+        assert len(loop.connect_requests) == tried
+        loop.advance(3.9)
+        assert len(loop.connect_requests) == tried + 1
 
 
 def held(says: bytes | None) -> tuple[float, bool]:
@@ -343,12 +345,12 @@
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as plug:
             listen = f"127.0.0.1:{plug.getsockname()[1]}"
-        proxy = Proxy(Desk.node() | {"listen": listen}, loop, lambda *_: None)
+        proxy = Proxy(ProxyHarness.node_file() | {"listen": listen}, loop, lambda *_: None)
         began, serving = loop.time(), asyncio.create_task(proxy.serve(lambda: None))
         await asyncio.sleep(0.05)
         assert proxy.listener is None
         if says is not None:
-            Wire(proxy.discovery.watch).feed(says)
+            FakeTransport(proxy.discovery.watch).feed(says)
         while proxy.listener is None:
             await asyncio.sleep(0.01)
         took, listed = loop.time() - began, proxy.discovery.has_answered
@@ -363,8 +365,8 @@
 @pytest.mark.parametrize(
     "says,heard",
     [
-        (HEAD + b"%x\r\n%b\r\n" % (len(LINE % 50), LINE % 50), True),
-        (HEAD + b"1\r\n\n\r\n", True),  # nothing has changed
+        (CHUNKED_RESPONSE_HEAD + b"%x\r\n%b\r\n" % (len(LINE % 50), LINE % 50), True),
+        (CHUNKED_RESPONSE_HEAD + b"1\r\n\n\r\n", True),  # nothing has changed
         (b"HTTP/1.1 503 No\r\n\r\n", False),
     ],
     ids=["a_list", "nothing_has_changed", "refused"],
--- a/tests/test_outlier_consensus.py
+++ b/tests/test_outlier_consensus.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 import pytest
-from helpers import SETTINGS, Desk, rpc_for
+from helpers import SETTINGS, ProxyHarness, make_request
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -429,7 +429,7 @@
 PEERS = [f"10.0.0.{one}:7946" for one in range(1, 10)]
 
 
-class ReportingDesk(Desk):
+class ReportingHarness(ProxyHarness):
     """One proxy of nine, for which the test answers as the other members."""
 
     def __init__(self, caches: int = 3, **start: Any) -> None:
@@ -446,10 +446,10 @@
         self.witnesses.live_members = lambda: list(range(1, 9))
         self.witnesses.wake()  # it knows the list
         self.witnesses.timer.cancel()
-        self.loop.run(0.6)
+        self.loop.advance(0.6)
 
-    def node(self, *values: int, **settings: object) -> dict:
-        return Desk.node(*values, **settings) | {
+    def node_file(self, *values: int, **settings: object) -> dict:
+        return ProxyHarness.node_file(*values, **settings) | {
             "start": self.start,
             "settings": SETTINGS | {"balancers": 9, "zone": "a"},
         }
@@ -473,7 +473,7 @@
                     0,
                 )
             )
-        self.loop.run(ANSWER_TIMEOUT_S + 0.05)
+        self.loop.advance(ANSWER_TIMEOUT_S + 0.05)
         self.witnesses.timer.cancel()
         self.witnesses.wake()
 
@@ -482,62 +482,62 @@
 
 
 def test_endpoint_ejected_by_one_proxy_alone_is_reinstated(caplog: pytest.LogCaptureFixture) -> None:
-    desk = ReportingDesk()
-    desk.proxy.router.eject_on_evidence(desk.proxy.now_ms(), "c2")
-    desk.witnesses.on_result("c2", rpc_for("read"), "timeout", 900.0, 0)
-    assert desk.part("c2") == 0.125
-    desk.loop.run(0.1)
+    harness = ReportingHarness()
+    harness.proxy.router.eject_on_evidence(harness.proxy.now_ms(), "c2")
+    harness.witnesses.on_result("c2", make_request("read"), "timeout", 900.0, 0)
+    assert harness.part("c2") == 0.125
+    harness.loop.advance(0.1)
     with caplog.at_level("INFO", "calicofall"):
-        desk.answer(3.0, 0.0)
-    assert desk.part("c2") == 1.0
-    assert desk.witnesses.reinstated_count == 1
+        harness.answer(3.0, 0.0)
+    assert harness.part("c2") == 1.0
+    assert harness.witnesses.reinstated_count == 1
     assert [(r.cache, r.verdict) for r in caplog.records if r.message == "witnesses"] == [("c2", FINE)]
-    assert any(line.startswith("verdict.c2:fine sick=1 of=9") for line in desk.witnesses.format_lines())
-    assert "verdict.c2" in desk.proxy.handle_call("verdicts")
+    assert any(line.startswith("verdict.c2:fine sick=1 of=9") for line in harness.witnesses.format_lines())
+    assert "verdict.c2" in harness.proxy.handle_call("verdicts")
 
 
 def test_endpoints_unhealthy_to_peers_are_ejected_up_to_limit() -> None:
-    desk = ReportingDesk()
+    harness = ReportingHarness()
     for name in ("c1", "c2"):
         for who in (5, 6):
-            desk.witnesses.on_message(
+            harness.witnesses.on_message(
                 EvidenceMessage(True, who, 40, 7, name_digest(name), name_digest("b"), 0, 32, NEVER_MS)
             )
-    desk.answer(0.0, 3.0)
+    harness.answer(0.0, 3.0)
     # A tenth of three: at least one.
-    assert sorted(round(desk.part(name), 1) for name in ("c1", "c2", "c3")) == [0.1, 1.0, 1.0]
-    assert desk.witnesses.ejected_count == 1
-    assert desk.witnesses.no_room_count == 1
-    aside = min(("c1", "c2"), key=desk.part)
+    assert sorted(round(harness.part(name), 1) for name in ("c1", "c2", "c3")) == [0.1, 1.0, 1.0]
+    assert harness.witnesses.ejected_count == 1
+    assert harness.witnesses.no_room_count == 1
+    aside = min(("c1", "c2"), key=harness.part)
     # Where a time-out is as long as a fetch, the router itself takes the endpoint for fine.
-    desk.proxy.router.policy.endpoints.caches[aside].admitted_fraction = 1.0
-    desk.witnesses.on_result(aside, rpc_for("read"), "timeout", 50.0, 0)
-    assert desk.part(aside) == 0.125  # our own failure confirms the decision
-    desk.loop.run(HOLD + 20.0)
-    desk.witnesses.on_result(aside, rpc_for("read"), "timeout", 50.0, 0)
-    assert desk.part("c1") == desk.part("c2") == 1.0  # decisions by peers expire
+    harness.proxy.router.policy.endpoints.caches[aside].admitted_fraction = 1.0
+    harness.witnesses.on_result(aside, make_request("read"), "timeout", 50.0, 0)
+    assert harness.part(aside) == 0.125  # our own failure confirms the decision
+    harness.loop.advance(HOLD + 20.0)
+    harness.witnesses.on_result(aside, make_request("read"), "timeout", 50.0, 0)
+    assert harness.part("c1") == harness.part("c2") == 1.0  # decisions by peers expire
 
 
 def test_endpoint_pinned_by_operator_is_reinstated_and_stays() -> None:
-    desk = ReportingDesk()
+    harness = ReportingHarness()
     for who in (5, 6):
-        desk.witnesses.on_message(
+        harness.witnesses.on_message(
             EvidenceMessage(True, who, 40, 7, name_digest("c1"), name_digest("b"), 0, 32, NEVER_MS)
         )
-    desk.answer(0.0, 3.0)
-    assert desk.part("c1") < 0.2
-    pins = desk.proxy.node["settings"] | {"pins": {"caches": ["c1"]}}
-    desk.proxy.apply_settings(pins)
-    assert desk.part("c1") == 1.0
-    desk.witnesses.timer.cancel()
-    desk.loop.run(REQUERY_AFTER_S)
+    harness.answer(0.0, 3.0)
+    assert harness.part("c1") < 0.2
+    pins = harness.proxy.node["settings"] | {"pins": {"caches": ["c1"]}}
+    harness.proxy.apply_settings(pins)
+    assert harness.part("c1") == 1.0
+    harness.witnesses.timer.cancel()
+    harness.loop.advance(REQUERY_AFTER_S)
     for who in (5, 6):
-        desk.witnesses.on_message(
+        harness.witnesses.on_message(
             EvidenceMessage(True, who, 40, 7, name_digest("c1"), name_digest("b"), 0, 32, NEVER_MS)
         )
-    desk.answer(0.0, 3.0)
-    assert desk.part("c1") == 1.0
-    assert desk.witnesses.consensus.verdicts[name_digest("c1")].what == SICK
+    harness.answer(0.0, 3.0)
+    assert harness.part("c1") == 1.0
+    assert harness.witnesses.consensus.verdicts[name_digest("c1")].what == SICK
     with pytest.raises(ValueError, match="settings.pins"):
         validate_settings(SETTINGS | {"pins": {"hosts": ["x"]}})
     with pytest.raises(ValueError, match="settings.pins.caches"):
@@ -545,54 +545,56 @@
 
 
 def test_outcomes_that_tell_nothing_about_health_are_no_evidence() -> None:
-    desk = ReportingDesk()
-    desk.proxy.router.policy.latency.baselines["read"] = 10.0
+    harness = ReportingHarness()
+    harness.proxy.router.policy.latency.baselines["read"] = 10.0
     for outcome, took, size in (("full", 1.0, 0), ("cancelled", 1.0, 0), ("completed", 500.0, SIZE)):
-        desk.witnesses.on_result("c1", rpc_for("read"), outcome, took, size)
-    assert not desk.witnesses.consensus.evidence
-    desk.witnesses.on_result("c1", rpc_for("read"), "completed", 39.0, 10)
-    desk.witnesses.on_result("c1", rpc_for("read"), "completed", 41.0, 10)
-    assert desk.witnesses.consensus.seen(desk.loop.time(), name_digest("c1")) == (1.0, 1.0)
+        harness.witnesses.on_result("c1", make_request("read"), outcome, took, size)
+    assert not harness.witnesses.consensus.evidence
+    harness.witnesses.on_result("c1", make_request("read"), "completed", 39.0, 10)
+    harness.witnesses.on_result("c1", make_request("read"), "completed", 41.0, 10)
+    assert harness.witnesses.consensus.seen(harness.loop.time(), name_digest("c1")) == (1.0, 1.0)
 
 
 def test_outlier_reports_without_setting_are_off() -> None:
-    desk = ReportingDesk.__new__(ReportingDesk)
-    desk.start = {"fleet": "shop", "speak": PEERS[0], "peers": PEERS, "watchesPerS": 100.0}
-    Desk.__init__(desk)
-    assert desk.proxy.outliers is None
-    assert "verdict" not in desk.proxy.handle_call("verdicts")
+    harness = ReportingHarness.__new__(ReportingHarness)
+    harness.start = {"fleet": "shop", "speak": PEERS[0], "peers": PEERS, "watchesPerS": 100.0}
+    ProxyHarness.__init__(harness)
+    assert harness.proxy.outliers is None
+    assert "verdict" not in harness.proxy.handle_call("verdicts")
 
 
-def decisions_of(desk: Desk, witnesses: Any) -> list[str | None]:
+def decisions_of(harness: ProxyHarness, witnesses: Any) -> list[str | None]:
     """Decisions of the router for the same requests, answers, timeouts and a failing endpoint."""
-    router, random_generator, out = desk.proxy.router, Random(4), []
-    if desk.proxy.quotas is not None:  # its life is older than what a former one may have lent
-        desk.loop.run(4.0)
-        desk.proxy.quotas.refresh()
-    began = desk.proxy.now_ms()
+    router, random_generator, out = harness.proxy.router, Random(4), []
+    if harness.proxy.quotas is not None:  # its life is older than what a former one may have lent
+        harness.loop.advance(4.0)
+        harness.proxy.quotas.refresh()
+    began = harness.proxy.now_ms()
     for step in range(400):
         now = began + step * 40.0
-        rpc = rpc_for("read", random_generator.randrange(30), now, now + 900.0, "acme")
-        cache = router.route(now, rpc)
+        request = make_request("read", random_generator.randrange(30), now, now + 900.0, "acme")
+        cache = router.route(now, request)
         out.append(cache)
         if cache is None:
             continue
         ill = cache == "c2" and step > 150 and random_generator.random() < 0.8
         took = 300.0 if ill else random_generator.uniform(2.0, 9.0)
         if witnesses is not None:
-            witnesses.on_result(cache, rpc_for("read"), "timeout" if ill else "completed", took, 10)
+            witnesses.on_result(cache, make_request("read"), "timeout" if ill else "completed", took, 10)
             witnesses.timer and witnesses.timer.cancel()
             witnesses.wake()
-        out.append(router.report_attempt(now + took, rpc, 0, "timeout" if ill else "completed", took, "hit"))
-        desk.loop.run(0.04)
+        out.append(
+            router.report_attempt(now + took, request, 0, "timeout" if ill else "completed", took, "hit")
+        )
+        harness.loop.advance(0.04)
     return out
 
 
 def test_routing_without_answers_of_peers_is_unchanged() -> None:
-    plain, deaf = ReportingDesk.__new__(ReportingDesk), ReportingDesk(lendS=3.0)
+    plain, deaf = ReportingHarness.__new__(ReportingHarness), ReportingHarness(lendS=3.0)
     plain.start = {name: value for name, value in deaf.start.items() if name not in ("witnesses", "lendS")}
-    Desk.__init__(plain)
-    plain.loop.run(4.6)
+    ProxyHarness.__init__(plain)
+    plain.loop.advance(4.6)
     alone = decisions_of(plain, None)
     assert decisions_of(deaf, deaf.witnesses) == alone
     assert len(set(alone)) > 2
@@ -600,7 +602,7 @@
     assert not deaf.witnesses.ejected_on_evidence
 
 
-class LargeAnswersDesk(ReportingDesk):
+class LargeAnswersHarness(ReportingHarness):
     """A proxy that has seen large answers before."""
 
     def __init__(self) -> None:
@@ -608,67 +610,67 @@
         self.proxy.router.policy.latency.baselines["read"] = 10.0
         for number_ in range(16):
             self.large("c1", 20.0, key=number_)
-        self.loop.run(3.0)
+        self.loop.advance(3.0)
 
     def large(self, cache: str, took: float, key: int = 7) -> None:
-        self.witnesses.on_result(cache, rpc_for("read", key), "completed", took, 20_000)
+        self.witnesses.on_result(cache, make_request("read", key), "completed", took, 20_000)
 
 
 def test_endpoint_slow_for_large_answers_alone_keeps_small_ones() -> None:
-    desk = LargeAnswersDesk()
+    harness = LargeAnswersHarness()
     for _ in range(3):
-        desk.large("c2", 400.0)
-    evidence = desk.witnesses.consensus.evidence
+        harness.large("c2", 400.0)
+    evidence = harness.witnesses.consensus.evidence
     assert name_digest("c2") not in evidence
     assert evidence[name_digest("c2\0large")].failures > 2.9
-    desk.answer(0.0, 3.0)
-    assert desk.part("c2") == 1.0
-    assert set(desk.witnesses.slow_for_large) == {"c2"}
-    assert "verdict.c2/large:sick" in desk.proxy.handle_call("verdicts")
+    harness.answer(0.0, 3.0)
+    assert harness.part("c2") == 1.0
+    assert set(harness.witnesses.slow_for_large) == {"c2"}
+    assert "verdict.c2/large:sick" in harness.proxy.handle_call("verdicts")
     # The module is told of large answers as if they had taken the usual time, of others the truth.
-    assert desk.witnesses.fair_latency("c2", "read", 400.0, 20_000) == 10.0
-    assert desk.witnesses.fair_latency("c2", "read", 400.0, 200) == 400.0
-    assert desk.witnesses.fair_latency("c1", "read", 400.0, 20_000) == 400.0
-    desk.loop.run(HOLD + 1.0)
-    desk.witnesses.timer.cancel()
-    desk.witnesses.wake()
-    assert not desk.witnesses.slow_for_large
+    assert harness.witnesses.fair_latency("c2", "read", 400.0, 20_000) == 10.0
+    assert harness.witnesses.fair_latency("c2", "read", 400.0, 200) == 400.0
+    assert harness.witnesses.fair_latency("c1", "read", 400.0, 20_000) == 400.0
+    harness.loop.advance(HOLD + 1.0)
+    harness.witnesses.timer.cancel()
+    harness.witnesses.wake()
+    assert not harness.witnesses.slow_for_large
 
 
 def test_large_keys_avoid_slow_endpoint_but_for_an_eighth() -> None:
-    desk = LargeAnswersDesk()
-    desk.witnesses.slow_for_large["c2"] = desk.loop.time() + 60.0
+    harness = LargeAnswersHarness()
+    harness.witnesses.slow_for_large["c2"] = harness.loop.time() + 60.0
     shunned = 0
     for number_ in range(800):
-        rpc = rpc_for("read", 7 if number_ % 2 else 9_999)
-        rpc.attempts.append(Attempt("c2", 0.0))
-        shuns = desk.witnesses.avoids(rpc)
+        request = make_request("read", 7 if number_ % 2 else 9_999)
+        request.attempts.append(Attempt("c2", 0.0))
+        shuns = harness.witnesses.avoids(request)
         shunned += shuns
-        assert not shuns or rpc.key == 7
+        assert not shuns or request.key == 7
     assert 0.8 * 400 < shunned < 0.95 * 400
     # Never where no other cache of the key is there, nor for what is not known to be large, nor twice.
     for name in ("c1", "c3"):
-        desk.proxy.router.eject_on_evidence(desk.proxy.now_ms(), name)
-    again = rpc_for("read", 7)
+        harness.proxy.router.eject_on_evidence(harness.proxy.now_ms(), name)
+    again = make_request("read", 7)
     again.attempts += [Attempt("c2", 0.0)]
-    assert not any(desk.witnesses.avoids(again) for _ in range(50))
+    assert not any(harness.witnesses.avoids(again) for _ in range(50))
 
 
 def test_endpoints_slow_for_large_answers_need_peer_evidence_and_are_limited() -> None:
-    desk = LargeAnswersDesk()
+    harness = LargeAnswersHarness()
     for name in ("c1", "c2", "c3"):
         for _ in range(6):
-            desk.large(name, 400.0)
-    desk.answer(3.0, 0.0)
-    assert not desk.witnesses.slow_for_large
-    desk.loop.run(3.0)
+            harness.large(name, 400.0)
+    harness.answer(3.0, 0.0)
+    assert not harness.witnesses.slow_for_large
+    harness.loop.advance(3.0)
     for name in ("c1", "c2", "c3"):
-        desk.large(name, 400.0)
-        desk.large(name, 400.0)
+        harness.large(name, 400.0)
+        harness.large(name, 400.0)
     for _ in range(9):  # each is asked about once in 2 s
-        desk.answer(0.0, 3.0)
-    assert len(desk.witnesses.slow_for_large) == 1
-    assert desk.witnesses.no_room_count >= 1
+        harness.answer(0.0, 3.0)
+    assert len(harness.witnesses.slow_for_large) == 1
+    assert harness.witnesses.no_room_count >= 1
 
 
 def test_healthy_endpoints_with_half_of_members_isolated_are_avoided_less_than_alone() -> None:
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -3,19 +3,19 @@
 from collections import Counter
 
 import pytest
-from helpers import SETTINGS, fleet, rpc_for, send
+from helpers import SETTINGS, deployment_settings, make_request, route_request
 
 from calicofall.config.settings import normalize_settings, validate_settings
 from calicofall.routing.decisions import Forward, Reject, Wait
 from calicofall.routing.policy import RoutingPolicy
 
-METHODS, READ = fleet()["methods"], SETTINGS["methods"][0]
+METHODS, READ = deployment_settings()["methods"], SETTINGS["methods"][0]
 
 
 def bound(aside: bool = False, zones: list | None = None, kinds: list | None = None) -> dict:
     """Reads are bound, all else is free."""
     read = METHODS[0] | {"zones_open": zones, "kinds_open": kinds}
-    return fleet(aside, methods=[read, *METHODS[1:]])
+    return deployment_settings(aside, methods=[read, *METHODS[1:]])
 
 
 def entries(state: str = "ready", started: float = 0.0) -> list[tuple]:
@@ -40,8 +40,8 @@
     policy = RoutingPolicy(bound(zones=["a"]), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, entries())
     for key in range(200):
-        request, now = rpc_for("read", key, key * 50.0, key * 50.0 + 900.0), key * 50.0
-        decision = send(policy, now, request)
+        request, now = make_request("read", key, key * 50.0, key * 50.0 + 900.0), key * 50.0
+        decision = route_request(policy, now, request)
         while decision and isinstance(decision, Forward):
             request.attempts[-1].outcome = "full"
             decision = policy.on_attempt_result(now, request, len(request.attempts) - 1, 1.0, None, None)
@@ -55,7 +55,10 @@
     [(["a"], ["box"], {"a0", "a2", "a4"}), (None, ["tub"], {f"{z}{i}" for z in "abc" for i in (1, 3, 5)})],
 )
 def test_ranking_of_a_bound_method_is_that_among_its_endpoints(zones: list, kinds: list, wanted: set) -> None:
-    policy, free = RoutingPolicy(bound(zones=zones, kinds=kinds), 1, 0.0), RoutingPolicy(fleet(), 1, 0.0)
+    policy, free = (
+        RoutingPolicy(bound(zones=zones, kinds=kinds), 1, 0.0),
+        RoutingPolicy(deployment_settings(), 1, 0.0),
+    )
     policy.on_endpoint_list(0.0, "full", 1, entries())
     free.on_endpoint_list(0.0, "full", 1, [entry for entry in entries() if entry[0] in wanted])
     place = policy.placement.places["read"]
@@ -83,8 +86,8 @@
     sent = Counter()
     for key in range(200):
         now = 50_300.0 + key
-        request = rpc_for("read", key, now, now + 900.0)
-        decision = send(policy, now, request)
+        request = make_request("read", key, now, now + 900.0)
+        decision = route_request(policy, now, request)
         assert type(decision) in (Forward, Wait, Reject)
         sent.update(decision.endpoint[0] for _ in [0] if isinstance(decision, Forward))
     assert set(sent) <= ({"a"} if state == "ready" else set()) | ({"o"} if aside else set())
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -4,7 +4,7 @@
 from random import Random
 
 import pytest
-from helpers import fleet, rpc_for, send
+from helpers import deployment_settings, make_request, route_request
 
 from calicofall.routing.actions import CloseConnections, LogLine, SendGossip
 from calicofall.routing.concurrency_limit import ConcurrencyLimit
@@ -18,47 +18,47 @@
 def test_miss_in_look_aside_mode_forwards_to_the_origin_at_once() -> None:
     """Waiting for another request's fetch lost requests whose client gave up first, and cost more than it
     saved."""
-    policy = RoutingPolicy(fleet(aside=True), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(cache_aside=True), 1, 0.0)
     policy.on_endpoint_list(
         0.0,
         "full",
         1,
         [("c1", "z", "box", 0, "ready", None, 0.0), ("o", "z", "origin", 0, "ready", None, 0.0)],
     )
-    request = rpc_for("read", until=60.0)
-    send(policy, 0.0, request)
+    request = make_request("read", expires_at=60.0)
+    route_request(policy, 0.0, request)
     request.attempts[0].outcome = "missed"
     assert policy.on_attempt_result(10.0, request, 0, 10.0, "fetching", None) == Forward("o", 50.0)
 
 
 def test_read_that_may_need_a_fetch_is_waited_for_until_it_expires() -> None:
     """Time-outs shorter than a fetch called it off: nothing was stored, and all missed again."""
-    policy = RoutingPolicy(fleet(), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, [("c1", "z", "box", 0, "ready", None, 0.0)])
-    decision = send(policy, 0.0, rpc_for("read", until=900.0))
+    decision = route_request(policy, 0.0, make_request("read", expires_at=900.0))
     assert decision == Forward("c1", 900.0)
 
 
 def test_select_while_the_origin_is_busy_does_not_spill() -> None:
     """Spilled keys were fetched once more each, which kept the origin behind the caches in its jam."""
-    policy = RoutingPolicy(fleet(), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(5)])
-    owners = {send(policy, 0.0, rpc_for("read")).endpoint for _ in range(2)}
+    owners = {route_request(policy, 0.0, make_request("read")).endpoint for _ in range(2)}
     assert len(owners) == 1
     policy.origin.value, policy.origin.held, policy.origin.spare = 100.0, 60.0, 200_000.0
-    owners |= {send(policy, 0.0, rpc_for("read")).endpoint for _ in range(3)}
+    owners |= {route_request(policy, 0.0, make_request("read")).endpoint for _ in range(3)}
     assert len(owners) == 1
     policy.origin.held = 0
-    assert send(policy, 0.0, rpc_for("read")).endpoint not in owners
+    assert route_request(policy, 0.0, make_request("read")).endpoint not in owners
 
 
 def test_silent_endpoint_is_ejected_before_time_outs() -> None:
     """Caches cut off kept what they got for the client's whole patience, and shrank the limit for all."""
-    policy = RoutingPolicy(fleet(), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(8)])
     for now in range(0, 3000, 10):
-        request = rpc_for("read", now % 97, now, now + 2000.0)
-        decision = send(policy, now, request)
+        request = make_request("read", now % 97, now, now + 2000.0)
+        decision = route_request(policy, now, request)
         if isinstance(decision, Forward) and decision.endpoint != "c3":
             request.attempts[0].outcome, request.finished = "completed", True
             policy.on_attempt_result(now + 5.0, request, 0, 50.0, "hit", None)
@@ -71,10 +71,10 @@
 def test_client_retries_do_not_raise_the_quota_scale() -> None:
     """Clients' repeats made every tenant look busy, and doubled what the greedy one might send."""
     policy = RoutingPolicy(
-        fleet(tenants=[{"name": n, "quota": 10.0, "share": 0.5} for n in ("a", "b")]), 1, 0.0
+        deployment_settings(tenants=[{"name": n, "quota": 10.0, "share": 0.5} for n in ("a", "b")]), 1, 0.0
     )
     for now in range(0, 2000, 20):
-        request = rpc_for("read", now, now, now + 900.0, "a")
+        request = make_request("read", now, now, now + 900.0, "a")
         request.client_retry = True
         policy.decide(now, request)
         policy.next_wakeup(now)
@@ -98,34 +98,41 @@
 @pytest.mark.parametrize("caches", [0, 1, 3])
 def test_decide_with_an_odd_deployment_returns_a_decision(changes: dict, caches: int) -> None:
     """An empty fleet, no origin, all caches cold or draining, settings absent: a stated answer each."""
-    policy = RoutingPolicy(fleet(**changes), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(**changes), 1, 0.0)
     policy.on_endpoint_list(
         0.0, "full", 1, [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(caches)]
     )
-    known = {type(send(policy, now, rpc_for("read", now, now, now + 90.0, "a"))) for now in range(0, 900, 30)}
+    known = {
+        type(route_request(policy, now, make_request("read", now, now, now + 90.0, "a")))
+        for now in range(0, 900, 30)
+    }
     assert known <= {Forward, Wait, Reject}
     assert caches == 0 or Forward in known
     policy.on_endpoint_list(
         950.0, "full", 2, [(f"c{i}", "z", "box", 0, "ready", None, 949.0) for i in range(caches)]
     )
     policy.next_wakeup(950.0)
-    assert type(send(policy, 960.0, rpc_for("order", 1, 960.0, 2000.0, "a"))) in {Forward, Wait, Reject}
+    assert type(route_request(policy, 960.0, make_request("order", 1, 960.0, 2000.0, "a"))) in {
+        Forward,
+        Wait,
+        Reject,
+    }
     policy.on_endpoint_list(970.0, "full", 3, [])
-    assert isinstance(send(policy, 970.0, rpc_for("order", 1, 0.0, 1000.0, "a")), Reject)
+    assert isinstance(route_request(policy, 970.0, make_request("order", 1, 0.0, 1000.0, "a")), Reject)
 
 
 def together(proxies: int, caches: int, old: int, keys: list[int]) -> list[tuple[float, str]]:
     """What many instances send, each alone; then all caches but the old are new, twice the traffic."""
     names, sends, random_generator = [f"c{i}" for i in range(caches)], [], Random(5)
-    fleet_of = [RoutingPolicy(fleet(proxies=proxies), seed, 0.0) for seed in range(proxies)]
+    fleet_of = [RoutingPolicy(deployment_settings(proxies=proxies), seed, 0.0) for seed in range(proxies)]
     for now in [*range(0, 20_000, 10), *range(20_000, 26_000, 5)]:
         if now in (0, 20_000):
             entries = [(c, "z", "box", 0, "ready", None, float(now) * (c not in names[:old])) for c in names]
             for policy in fleet_of:
                 policy.on_endpoint_list(now, "full", 1, entries)
         policy = random_generator.choice(fleet_of)
-        request = rpc_for("read", random_generator.choice(keys), now, now + 900.0)
-        if isinstance(send(policy, now, request), Forward):
+        request = make_request("read", random_generator.choice(keys), now, now + 900.0)
+        if isinstance(route_request(policy, now, request), Forward):
             request.attempts[0].outcome, request.finished = "completed", True
             sends.append((now, request.attempts[0].endpoint))
             policy.on_attempt_result(now + 1.0, request, 0, 30.0, "hit", None)
@@ -150,17 +157,19 @@
     entries = [(f"c{i}", "z", "box", 0, "ready", None, 20_000.0 * (i == 39)) for i in range(40)]
     sent = 0
     for seed in range(60):
-        policy = RoutingPolicy(fleet(proxies=60), seed, 0.0)
+        policy = RoutingPolicy(deployment_settings(proxies=60), seed, 0.0)
         policy.on_endpoint_list(0.0, "full", 1, [(*entry[:6], 0.0) for entry in entries[:39]])
         for now in range(seed, 20_000, 200):
-            request = rpc_for("read", 50 if now % 2000 < 200 else now, now, now + 900.0)
-            if isinstance(send(policy, now, request), Forward):
+            request = make_request("read", 50 if now % 2000 < 200 else now, now, now + 900.0)
+            if isinstance(route_request(policy, now, request), Forward):
                 request.attempts[0].outcome, request.finished = "completed", True
                 policy.on_attempt_result(now + 30.0, request, 0, 30.0, "hit", None)
             policy.next_wakeup(now)
         policy.on_endpoint_list(20_500.0, "full", 2, entries)
         policy.placement.rankings[50, ANY_PLACE] = [policy.endpoints.caches[f"c{i}"] for i in (39, 1, 2)]
-        sent += send(policy, 21_000.0, rpc_for("read", 50, 21_000.0, 22_000.0)).endpoint == "c39"
+        sent += (
+            route_request(policy, 21_000.0, make_request("read", 50, 21_000.0, 22_000.0)).endpoint == "c39"
+        )
     assert 0 < sent < 3.0 * 0.3 * 3000.0 * 60 * 0.005 / 40
 
 
@@ -169,7 +178,7 @@
     held: int, answer: type[Decision]
 ) -> None:
     """It went there as if missed, and jammed it for all; held back always, caches in trouble lost it."""
-    policy = RoutingPolicy(fleet(aside=True), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(cache_aside=True), 1, 0.0)
     policy.on_endpoint_list(
         0.0,
         "full",
@@ -178,7 +187,7 @@
         + [("o", "z", "origin", 0, "ready", None, 0.0)],
     )
     policy.origin.acquire(0.0, held)
-    request, decision = rpc_for("read"), None
+    request, decision = make_request("read"), None
     for number in range(3):
         decision = policy.decide(number, request) if decision is None else decision
         assert isinstance(decision, Forward)
@@ -209,7 +218,7 @@
 
 
 def talking(caches: int = 6, **changes: object) -> RoutingPolicy:
-    deployment = fleet(aside=True, proxies=8, **changes)
+    deployment = deployment_settings(cache_aside=True, proxies=8, **changes)
     deployment["caps"]["peer_messages"] = True
     policy = RoutingPolicy(deployment, 1, 0.0)
     policy.on_endpoint_list(
@@ -228,7 +237,7 @@
     owner = policy.placement.ranking(7)[0].name
     for number in range(20):
         news(policy, {owner: 800.0, "c99": 0.0} if owner == "c99" else {owner: 800.0}, 100.0 + number)
-    sent = [send(policy, 200.0, rpc_for("read", 7, 200.0, 900.0)).endpoint for _ in range(2)]
+    sent = [route_request(policy, 200.0, make_request("read", 7, 200.0, 900.0)).endpoint for _ in range(2)]
     assert owner not in sent
     assert policy.endpoints.caches[owner].mean_wait_ms(20_000.0) < 1.0
 
@@ -238,10 +247,12 @@
     policy = talking()
     for number in range(20):
         news(policy, dict.fromkeys(policy.endpoints.caches, 800.0), 100.0 + number)
-    sent = [send(policy, 200.0, rpc_for("read", key, 200.0, 900.0)).endpoint for key in range(4)]
+    sent = [
+        route_request(policy, 200.0, make_request("read", key, 200.0, 900.0)).endpoint for key in range(4)
+    ]
     assert sent.count("o") >= 3
     policy.origin.acquire(200.0, 20.0)
-    assert send(policy, 200.0, rpc_for("read", 9, 200.0, 900.0)).endpoint != "o"
+    assert route_request(policy, 200.0, make_request("read", 9, 200.0, 900.0)).endpoint != "o"
 
 
 def test_gossip_of_long_waits_shrinks_the_fleet_limit() -> None:
@@ -264,13 +275,13 @@
     """One request in fifty took twenty times the usual work: at a cache it came too late and held up the
     rest."""
     policy = talking()
-    request = rpc_for(method, 7, 0.0, 900.0)
+    request = make_request(method, 7, 0.0, 900.0)
     request.estimated_work_ms, request.write = work, False
-    assert send(policy, 0.0, request).endpoint.startswith(to)
+    assert route_request(policy, 0.0, request).endpoint.startswith(to)
     policy.origin.acquire(0.0, 20.0)  # an origin without room to spare takes none
-    request = rpc_for("read", 8, 0.0, 900.0)
+    request = make_request("read", 8, 0.0, 900.0)
     request.estimated_work_ms = 600.0
-    assert send(policy, 0.0, request).endpoint != "o"
+    assert route_request(policy, 0.0, request).endpoint != "o"
 
 
 @pytest.mark.parametrize(
@@ -284,7 +295,7 @@
 
 
 def test_gossip_without_the_capability_is_neither_sent_nor_read() -> None:
-    policy = RoutingPolicy(fleet(aside=True, proxies=8), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(cache_aside=True, proxies=8), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, [("c0", "z", "box", 0, "ready", None, 0.0)])
     policy.gossip.note_wait(10.0, policy.endpoints.caches["c0"], 50.0)
     assert not any(isinstance(action, SendGossip) for action in policy.next_wakeup(1000.0)[1])
@@ -332,7 +343,7 @@
     limit = policy.origin.value
     for now in range(0, 8000, 50):
         policy.origin_protection.on_direct_result(
-            now, rpc_for("read", 7, now - 400.0, now + 100.0), "completed", 400.0
+            now, make_request("read", 7, now - 400.0, now + 100.0), "completed", 400.0
         )
         policy.origin.short = True
         policy.next_wakeup(now)
@@ -342,8 +353,8 @@
 def test_unconnected_origin_makes_the_request_wait() -> None:
     """Each request was sent there up to six times within a millisecond: 8,760 in five seconds."""
     policy = talking()
-    request = rpc_for("save", 7, 0.0, 900.0)
-    assert send(policy, 0.0, request).endpoint == "o"
+    request = make_request("save", 7, 0.0, 900.0)
+    assert route_request(policy, 0.0, request).endpoint == "o"
     request.attempts[0].outcome = "unconnected"
     assert isinstance(policy.on_attempt_result(1.0, request, 0, 1.0, None, None), Wait)
 
@@ -365,11 +376,11 @@
 
 def test_select_with_low_traffic_spreads_a_hot_key() -> None:
     """Few keys made most of the load, and no proxy ever had two of them in flight at their owner."""
-    policy, sends = RoutingPolicy(fleet(proxies=200), 1, 0.0), []
+    policy, sends = RoutingPolicy(deployment_settings(proxies=200), 1, 0.0), []
     policy.on_endpoint_list(0.0, "full", 1, [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(40)])
     for now in range(0, 60_000, 500):
-        request = rpc_for("read", 7 if now % 2000 == 0 else now, now, now + 900.0)
-        if isinstance(send(policy, now, request), Forward):
+        request = make_request("read", 7 if now % 2000 == 0 else now, now, now + 900.0)
+        if isinstance(route_request(policy, now, request), Forward):
             request.attempts[0].outcome, request.finished = "completed", True
             policy.on_attempt_result(now + 50.0, request, 0, 50.0, "hit", None)
             sends += [request.attempts[0].endpoint] * (request.key == 7)
@@ -382,13 +393,15 @@
 def test_connection_that_is_seldom_used_is_closed(proxies: int) -> None:
     """Hundreds of proxies kept a connection to each cache open that they used once a minute."""
     policy, closed = (
-        RoutingPolicy(fleet(proxies=proxies, costs={"connection": 0.04, "handshake": 0.04}), 1, 0.0),
+        RoutingPolicy(
+            deployment_settings(proxies=proxies, costs={"connection": 0.04, "handshake": 0.04}), 1, 0.0
+        ),
         0,
     )
     policy.on_endpoint_list(0.0, "full", 1, [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(60)])
     for now in range(0, 30_000, 500):
-        request = rpc_for("read", now, now, now + 900.0)
-        send(policy, now, request)
+        request = make_request("read", now, now, now + 900.0)
+        route_request(policy, now, request)
         request.attempts[0].outcome, request.finished = "completed", True
         policy.on_attempt_result(now + 50.0, request, 0, 50.0, "hit", None)
         closed += sum(isinstance(action, CloseConnections) for action in policy.next_wakeup(now)[1])
@@ -397,18 +410,18 @@
 
 def test_next_wakeup_of_an_idle_proxy_is_far_away() -> None:
     """Reviews four times a second at each of hundreds of proxies had a day at full size cut off."""
-    policy = RoutingPolicy(fleet(proxies=300), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(proxies=300), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(80)])
     assert policy.next_wakeup(0.0)[0] > 60_000.0
 
 
 def test_spill_prefers_an_endpoint_that_holds_the_key() -> None:
     """Spills to a neighbour that lacked the key, while another held it, cost the origin a fetch each."""
-    policy = RoutingPolicy(fleet(), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(5)])
     owner, _, third = policy.placement.ranking(7)
     policy.cached_keys.holders[0].add((7, third.name))
-    assert [send(policy, 0.0, rpc_for("read")).endpoint for _ in range(3)] == [
+    assert [route_request(policy, 0.0, make_request("read")).endpoint for _ in range(3)] == [
         owner.name,
         owner.name,
         third.name,
@@ -426,8 +439,8 @@
             going.remove((end, request, outcome))
             request.attempts[0].outcome, request.finished = outcome, True
             policy.on_attempt_result(now, request, 0, now - request.arrived_at, "hit", None)
-        request = rpc_for("read", policy.random_generator.randrange(60), now, now + 400.0)
-        if isinstance(send(policy, now, request), Forward):
+        request = make_request("read", policy.random_generator.randrange(60), now, now + 400.0)
+        if isinstance(route_request(policy, now, request), Forward):
             name = request.attempts[0].endpoint
             sends[name] = sends.get(name, 0) + 1
             wait = took(name)
@@ -437,7 +450,7 @@
 
 
 def busy() -> RoutingPolicy:
-    policy = RoutingPolicy(fleet(proxies=2), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(proxies=2), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(10)])
     dense(policy, 0.0, 6000.0, lambda name: policy.random_generator.expovariate(1 / 20))
     return policy
@@ -503,7 +516,7 @@
 
 def test_endpoints_that_are_gone_leave_nothing_in_memory() -> None:
     """A long day of replaced caches: each left its measures behind, and the keys asked for their rankings."""
-    policy = RoutingPolicy(fleet(), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(), 1, 0.0)
     for day in range(300):
         now, names = day * 1000.0, [f"c{day + i}" for i in range(3)]
         policy.on_endpoint_list(
@@ -513,11 +526,11 @@
             [(name, "z", "box", 0, "ready", None, 0.0) for name in names]
             + [(f"c{day - 1}", "z", "box", 0, "gone", None, 0.0)],
         )
-        out = rpc_for("read", day, now, now + 900.0)
-        send(policy, now, out)
+        out = make_request("read", day, now, now + 900.0)
+        route_request(policy, now, out)
         for key in range(40):
-            request = rpc_for("read", 1000 * day + key, now, now + 900.0)
-            if isinstance(send(policy, now, request), Forward):
+            request = make_request("read", 1000 * day + key, now, now + 900.0)
+            if isinstance(route_request(policy, now, request), Forward):
                 request.attempts[0].outcome, request.finished = "completed", True
                 policy.on_attempt_result(now + 5.0, request, 0, 5.0, "hit", None)
         out.attempts[0].outcome = "reset"
@@ -530,10 +543,10 @@
 
 
 def test_idempotency_key_request_whose_endpoint_is_gone_is_retried_in_a_group_of_all() -> None:
-    policy = RoutingPolicy(fleet(), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(3)])
-    request = rpc_for("save")
-    name = send(policy, 0.0, request).endpoint
+    request = make_request("save")
+    name = route_request(policy, 0.0, request).endpoint
     policy.on_endpoint_list(10.0, "delta", 2, [(name, "z", "box", 0, "gone", None, 0.0)])
     request.attempts[0].outcome = "reset"
     policy.endpoints.caches[name].held = 1
@@ -548,7 +561,9 @@
 
 def test_doubled_load_is_taken_within_seconds() -> None:
     """With one of two proxies down the other rejected a third: its shares and limits followed late."""
-    policy = RoutingPolicy(fleet(proxies=2, tenants=[{"name": "a", "quota": 400.0, "share": 1.0}]), 1, 0.0)
+    policy = RoutingPolicy(
+        deployment_settings(proxies=2, tenants=[{"name": "a", "quota": 400.0, "share": 1.0}]), 1, 0.0
+    )
     policy.on_endpoint_list(0.0, "full", 1, [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(10)])
     going: list[tuple] = []
     exhausted = 0
@@ -560,8 +575,8 @@
             policy.on_attempt_result(now, request, 0, now - request.arrived_at, "hit", None)
         if now < 6000.0 and tick % 2:
             continue
-        request = rpc_for("read", tick % 60, now, now + 900.0, "a")
-        decision = send(policy, now, request)
+        request = make_request("read", tick % 60, now, now + 900.0, "a")
+        decision = route_request(policy, now, request)
         if isinstance(decision, Forward):
             going.append((now + 60.0 + policy.random_generator.expovariate(1 / 60), request))
         exhausted += isinstance(decision, Reject) and now > 7000.0
@@ -574,7 +589,7 @@
 )
 def test_weight_after_a_start_rises_over_the_ramp(cold: float | None, full: float) -> None:
     """Caches warm after a second rose for twenty: where all are replaced in turn a fifth was missing."""
-    policy = RoutingPolicy(fleet(rules={"cold": cold}), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(rules={"cold": cold}), 1, 0.0)
     policy.on_endpoint_list(
         1000.0,
         "full",
@@ -603,11 +618,11 @@
     policy, served, asked = busy(), 0, 0
     for now in range(6000, 26_000, 4):
         request, ends, good = (
-            rpc_for("read", policy.random_generator.randrange(60), now, now + 400.0),
+            make_request("read", policy.random_generator.randrange(60), now, now + 400.0),
             float(now),
             False,
         )
-        decision = send(policy, now, request)
+        decision = route_request(policy, now, request)
         while decision and isinstance(decision, Forward):
             failed = decision.endpoint in ("c1", "c3", "c5", "c7") and policy.random_generator.random() < 0.5
             request.attempts[-1].outcome = "error" if failed else "completed"
@@ -622,12 +637,12 @@
 def test_reset_does_not_degrade_an_endpoint_but_a_refused_connection_does() -> None:
     """Networks reset connections to healthy caches: each such reset sent their keys elsewhere for seconds."""
     policy = busy()
-    request = rpc_for("read", until=9000.0, arrived=6000.0)
-    cache = policy.endpoints.caches[send(policy, 6000.0, request).endpoint]
+    request = make_request("read", expires_at=9000.0, arrived_at=6000.0)
+    cache = policy.endpoints.caches[route_request(policy, 6000.0, request).endpoint]
     request.attempts[0].outcome = "reset"
     policy.on_attempt_result(6010.0, request, 0, 10.0, None, None)
     assert cache.admitted_fraction == 1.0
-    request = rpc_for("read", until=9000.0, arrived=6020.0)
+    request = make_request("read", expires_at=9000.0, arrived_at=6020.0)
     policy._forward(6020.0, request, cache, 0.0)
     request.attempts[0].outcome = "unconnected"
     policy.on_attempt_result(6030.0, request, 0, 10.0, None, None)
@@ -636,8 +651,8 @@
 
 def test_overload_shrinks_a_limit_within_two_latency_objectives() -> None:
     """Requests lived for 400 ms, limits fell once a second: the origin had jammed before the second fall."""
-    method = fleet()["methods"][0] | {"soft_deadline": 130.0}
-    policy = RoutingPolicy(fleet(methods=[method]), 1, 0.0)
+    method = deployment_settings()["methods"][0] | {"soft_deadline": 130.0}
+    policy = RoutingPolicy(deployment_settings(methods=[method]), 1, 0.0)
     policy.origin.value = 80.0
     for now in range(0, 1300, 5):
         policy.origin.latencies.add(now, 8.0)
@@ -667,35 +682,38 @@
     policy.update_at = policy.measure_at = 6000.0
     policy.next_wakeup(6000.0)
     request, write = (
-        rpc_for("read", key=999, arrived=6000.0, until=6900.0),
-        rpc_for("save", 998, 6000.0, 6900.0),
+        make_request("read", key=999, arrived_at=6000.0, expires_at=6900.0),
+        make_request("save", 998, 6000.0, 6900.0),
     )
     held = policy.origin.held
-    assert isinstance(send(policy, 6000.0, request), Forward)
+    assert isinstance(route_request(policy, 6000.0, request), Forward)
     assert policy.origin.held - held < 0.6
     request.attempts[0].outcome, request.finished = "completed", True
     policy.on_attempt_result(6010.0, request, 0, 10.0, "hit", None)
     assert policy.origin.held == held
-    assert isinstance(send(policy, 6010.0, write), Forward)
+    assert isinstance(route_request(policy, 6010.0, write), Forward)
     assert policy.origin.held == held + 1.0
 
 
 def test_unknown_keys_in_a_large_fleet_count_by_their_fetch_likelihood() -> None:
     """A proxy of forty saw few keys held: each read filled a place at an idle origin, most failed."""
-    policy = RoutingPolicy(fleet(proxies=40), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(proxies=40), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(60)])
     for number in range(100):
         policy.fetch_likelihood.windows[0].add(3000.0, number % 10 == 0)
     policy.next_wakeup(3000.0)
     assert policy.traffic.low
-    sent = [type(send(policy, 3000.0 + i, rpc_for("read", 1000 + i, 3000.0 + i, 3400.0))) for i in range(9)]
+    sent = [
+        type(route_request(policy, 3000.0 + i, make_request("read", 1000 + i, 3000.0 + i, 3400.0)))
+        for i in range(9)
+    ]
     assert sent == [Forward] * 9
     assert 0.8 < policy.origin.held < 1.0
 
 
 def sparse(caches: int = 60) -> RoutingPolicy:
     """One of forty proxies, which knows the baseline of a read: 50 ms."""
-    policy = RoutingPolicy(fleet(proxies=40), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(proxies=40), 1, 0.0)
     policy.on_endpoint_list(
         0.0, "full", 1, [(f"c{i}", "z", "box", 0, "ready", None, 0.0) for i in range(caches)]
     )
@@ -713,7 +731,7 @@
     policy = sparse()
     policy.outliers.common_latency, cache = 1.5, policy.endpoints.caches["c0"]
     for now in (3100.0, 3400.0, 3700.0):
-        request = rpc_for("read", 7, now, now + 200.0)
+        request = make_request("read", 7, now, now + 200.0)
         request.attempts.append(Attempt("c0", now, 0.0, "timeout"))
         cache.held = 1
         policy.on_attempt_result(now + 200.0, request, 0, 200.0, None, None)
@@ -732,8 +750,8 @@
         policy.cached_keys.holders[0].add((7, name))
     decisions = []
     for _ in range(200):
-        request = rpc_for("read", 7, 3000.0, 3300.0)
-        decisions.append(type(send(policy, 3000.0, request)))
+        request = make_request("read", 7, 3000.0, 3300.0)
+        decisions.append(type(route_request(policy, 3000.0, request)))
         if request.attempts:
             request.attempts[0].outcome, request.finished = "completed", True
             policy.endpoints.caches[request.attempts[0].endpoint].held -= 1
@@ -754,7 +772,7 @@
             ("c2", 250.0, "fetched"),
             ("c3", 250.0, "fetched"),
         ):
-            request = rpc_for("read", now, now - took, now + 100.0)
+            request = make_request("read", now, now - took, now + 100.0)
             request.attempts.append(Attempt(name, now - took, 0.0, "completed"))
             request.finished, policy.endpoints.caches[name].held = True, 1
             policy.on_attempt_result(float(now), request, 0, took, note, None)
@@ -767,28 +785,28 @@
     policy = sparse()
     policy.retries.allowance = 1.0
     policy.cached_keys.holders[0].update((7, name) for name in policy.endpoints.caches)
-    request = rpc_for("read", 7, 3000.0, 3400.0)
-    assert send(policy, 3000.0, request).timeout_ms == 150.0
+    request = make_request("read", 7, 3000.0, 3400.0)
+    assert route_request(policy, 3000.0, request).timeout_ms == 150.0
     request.attempts[0].outcome = "timeout"
     again = policy.on_attempt_result(3200.0, request, 0, 200.0, None, None)
     assert isinstance(again, Forward)
     assert again.endpoint != request.attempts[0].endpoint
     assert again.timeout_ms == 200.0
     policy.retries.allowance = 0.5  # no retry to spend: then the first answer is waited for
-    assert send(policy, 3300.0, rpc_for("read", 8, 3300.0, 3700.0)).timeout_ms == 400.0
+    assert route_request(policy, 3300.0, make_request("read", 8, 3300.0, 3700.0)).timeout_ms == 400.0
     policy.retries.allowance = 1.0
-    assert send(policy, 3300.0, rpc_for("order", 9, 3300.0, 3700.0)).timeout_ms == 400.0
+    assert route_request(policy, 3300.0, make_request("order", 9, 3300.0, 3700.0)).timeout_ms == 400.0
 
 
 def test_silent_zone_is_ejected_whole() -> None:
     """Each proxy learned of thirty silent machines one by one, by time-outs; the other zone stood idle."""
-    policy = RoutingPolicy(fleet(proxies=40), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(proxies=40), 1, 0.0)
     policy.on_endpoint_list(
         0.0, "full", 1, [(f"c{i}", "ab"[i % 2], "box", 0, "ready", None, 0.0) for i in range(60)]
     )
 
     def end(name: str, sent: float, now: float, outcome: str) -> None:
-        request = rpc_for("read", 7, sent, now + 1.0)
+        request = make_request("read", 7, sent, now + 1.0)
         request.attempts.append(Attempt(name, sent, 0.0, outcome))
         request.finished, policy.endpoints.caches[name].held = outcome == "completed", 1
         policy.on_attempt_result(now, request, 0, now - sent, "hit" if outcome == "completed" else None, None)
@@ -820,7 +838,7 @@
         3.0 * len(policy.placement.usable) / policy.deployment.proxies
     )  # where it stood, over its floor
     for now in range(3000, 6000, 50):
-        request = rpc_for("read", now, now - 150.0, now + 100.0)
+        request = make_request("read", now, now - 150.0, now + 100.0)
         request.attempts.append(Attempt(f"c{now // 50 % 60}", now - 150.0, 0.1, "error"))
         request.finished, policy.endpoints.caches[request.attempts[0].endpoint].held = True, 1
         policy.on_attempt_result(float(now), request, 0, 150.0, None, None)
@@ -836,7 +854,7 @@
     )
     for number in range(100):
         cache = policy.endpoints.caches[f"n{number % 60}"]
-        request = rpc_for("read", 900 + number)
+        request = make_request("read", 900 + number)
         request.attempts.append(Attempt(cache.name, 3040.0, 0.5, "completed"))
         policy.observer.observe(3100.0, request, 0, 60.0, "fetched", None)
     policy.measure_at = policy.update_at = 3200.0
@@ -849,7 +867,7 @@
 def test_traffic_counts_as_low_for_longer_with_more_proxies(proxies: int, seldom: bool) -> None:
     """At 90 requests a minute and cache one of fourteen counted what it had out, and saw none of their
     queues."""
-    policy = RoutingPolicy(fleet(proxies=proxies), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(proxies=proxies), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, [(f"c{i}", "a", "box", 0, "ready", None, 0.0) for i in range(6)])
     for number in range(540):
         policy.traffic.sent.add(number * 111.0)
@@ -859,11 +877,11 @@
 
 def test_very_short_answers_are_never_slow() -> None:
     """Answers of 15 ms, of 500 that there are, were three times the usual 5 and shrank the limit."""
-    policy = RoutingPolicy(fleet(proxies=2), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(proxies=2), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, [(f"c{i}", "a", "box", 0, "ready", None, 0.0) for i in range(4)])
     for now in range(0, 9000, 10):
         took = 5.0 if now < 4000 else 15.0
-        request = rpc_for("read", 7, now - took, now + 500.0)
+        request = make_request("read", 7, now - took, now + 500.0)
         request.attempts.append(Attempt(f"c{now // 10 % 4}", now - took, 0.0, "completed"))
         request.finished, policy.endpoints.caches[request.attempts[0].endpoint].held = True, 1
         policy.on_attempt_result(float(now), request, 0, took, "hit", None)
@@ -875,7 +893,7 @@
 
 def many(proxies: int = 200, caches: int = 20) -> RoutingPolicy:
     """One of many that has just started."""
-    policy = RoutingPolicy(fleet(proxies=proxies), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(proxies=proxies), 1, 0.0)
     policy.on_endpoint_list(
         0.0, "full", 1, [(f"c{i}", "a", "box", 0, "ready", None, 0.0) for i in range(caches)]
     )
@@ -902,8 +920,8 @@
     policy.settings.methods["read"]["late_gain"] = late
     policy.settings.derive()
     policy.cached_keys.holders[0] = {(7, cache.name) for cache in policy.placement.ranking(7)}
-    request = rpc_for(method, until=1000.0)
-    decision = send(policy, 0.0, request)
+    request = make_request(method, expires_at=1000.0)
+    decision = route_request(policy, 0.0, request)
     assert isinstance(decision, Forward)
     assert decision.timeout_ms == left
     request.attempts[0].outcome = "timeout"
@@ -916,7 +934,7 @@
     them had no end (join+mass, 0.55 to 0.17)."""
     policy = many()
     assert (
-        send(policy, 0.0, rpc_for("read", until=1000.0)).timeout_ms == 1000.0
+        route_request(policy, 0.0, make_request("read", expires_at=1000.0)).timeout_ms == 1000.0
     )  # nobody was seen to hold the key
 
 
@@ -927,8 +945,8 @@
     policy.origin.short = True
     for number in range(40):
         now = 100.0 * number
-        request = rpc_for("read", 3, now, now + 400.0)
-        if not isinstance(send(policy, now, request), Forward):
+        request = make_request("read", 3, now, now + 400.0)
+        if not isinstance(route_request(policy, now, request), Forward):
             continue
         request.attempts[0].outcome, request.finished = "timeout", True
         policy.on_attempt_result(now + 300.0, request, 0, 300.0, None, None)
@@ -975,19 +993,19 @@
 def test_failed_read_of_a_cached_key_counts_as_a_fetch(outcome: str) -> None:
     """Caches let go of keys that were believed held for 20 s more: fetches that no limit counted jammed
     the origin for good, and what is not waited for is not stored."""
-    policy = RoutingPolicy(fleet(), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, [("c1", "a", "box", 0, "ready", 1.0, 0.0)])
-    first = rpc_for("read")
-    assert send(policy, 10.0, first).endpoint == "c1"
+    first = make_request("read")
+    assert route_request(policy, 10.0, first).endpoint == "c1"
     assert first.attempts[0].origin_probability > 0.0
     first.attempts[0].outcome, first.finished = "completed", True
     policy.on_attempt_result(20.0, first, 0, 10.0, "hit", None)
-    second = rpc_for("read")
-    send(policy, 30.0, second)
+    second = make_request("read")
+    route_request(policy, 30.0, second)
     assert second.attempts[0].origin_probability == 0.0  # held, as far as is known
     second.attempts[0].outcome, second.finished = outcome, True
     policy.on_attempt_result(40.0, second, 0, 10.0, None, None)
-    third = rpc_for("read")
-    send(policy, 50.0, third)
+    third = make_request("read")
+    route_request(policy, 50.0, third)
     assert third.attempts[0].origin_probability > 0.0
     assert sum(policy.fetch_likelihood.windows[0].sums) == (1.0 if outcome == "error" else 0.0)
--- a/tests/test_rate_slots.py
+++ b/tests/test_rate_slots.py
@@ -4,7 +4,7 @@
 from random import Random
 
 import pytest
-from helpers import Desk, ask
+from helpers import ProxyHarness, encode_request
 from test_limits import Lending
 from test_quota_leases import owners_restart
 
@@ -231,93 +231,93 @@
 
 
 def test_endpoint_with_exhausted_quota_is_not_degraded_and_next_one_is_used() -> None:
-    desk = Lending(inFlight=4.0, lendS=None).spacious()
-    assert desk.proxy.upstreams.in_flight_quota.part == 1.0
-    client = desk.client()
+    harness = Lending(inFlight=4.0, lendS=None).with_high_limits()
+    assert harness.proxy.upstreams.in_flight_quota.part == 1.0
+    client = harness.client()
     for _ in range(6):
-        client.feed(ask("read", key=7))
-    desk.loop.run(0.05)
-    counts = [one.out for one in desk.proxy.upstreams.in_flight_quota.caches.values()]
+        client.feed(encode_request("read", key=7))
+    harness.loop.advance(0.05)
+    counts = [one.out for one in harness.proxy.upstreams.in_flight_quota.caches.values()]
     assert max(counts) == 1
     assert sum(counts) == 3
-    assert not desk.proxy.router.degraded_endpoints(desk.proxy.now_ms())
+    assert not harness.proxy.router.degraded_endpoints(harness.proxy.now_ms())
 
 
 def test_cancelled_request_is_in_flight_until_its_connection_is_closed() -> None:
-    desk = Lending(inFlight=400.0).spacious()
-    client = desk.client()
-    client.feed(ask("read"))
-    desk.loop.run(0.05)
-    flights = desk.proxy.upstreams.in_flight_quota
+    harness = Lending(inFlight=400.0).with_high_limits()
+    client = harness.client()
+    client.feed(encode_request("read"))
+    harness.loop.advance(0.05)
+    flights = harness.proxy.upstreams.in_flight_quota
     assert flights.most() == 1
     client.abort()
-    desk.loop.run(3.0)
+    harness.loop.advance(3.0)
     assert flights.most() == 0
 
 
 def test_lease_that_ends_before_a_request_may_does_not_count() -> None:
-    desk = Lending(inFlight=64.0).spacious()
-    desk.loop.run(4.0)
+    harness = Lending(inFlight=64.0).with_high_limits()
+    harness.loop.advance(4.0)
     limits, flights, one = (
-        desk.limits,
-        desk.proxy.upstreams.in_flight_quota,
+        harness.limits,
+        harness.proxy.upstreams.in_flight_quota,
         peer_messages.name_digest(IN_FLIGHT_LIMIT),
     )
     limits.refresh()
     own = flights.part
     assert own == pytest.approx(16.0)
     parts = limits.leases[one]
-    parts.borrowed[7] = BorrowedLease(1, UNITS // 8, desk.loop.time() + limits.longest_request_s + 0.5)
+    parts.borrowed[7] = BorrowedLease(1, UNITS // 8, harness.loop.time() + limits.longest_request_s + 0.5)
     limits.refresh()
     assert flights.part == pytest.approx(24.0)
-    desk.loop.run(0.6)
+    harness.loop.advance(0.6)
     limits.refresh()
     assert flights.part == pytest.approx(16.0)
-    assert parts.part(desk.loop.time()) > UNITS // 4
+    assert parts.part(harness.loop.time()) > UNITS // 4
 
 
 def test_units_in_flight_are_not_lent() -> None:
-    desk = Lending(inFlight=8.0).spacious()
-    desk.loop.run(4.0)
-    client = desk.client()
+    harness = Lending(inFlight=8.0).with_high_limits()
+    harness.loop.advance(4.0)
+    client = harness.client()
     for key in range(40):
-        client.feed(ask("read", key=key))
-    desk.loop.run(0.02)
-    assert desk.proxy.upstreams.in_flight_quota.most() == 2
-    desk.limits.on_message(
+        client.feed(encode_request("read", key=key))
+    harness.loop.advance(0.02)
+    assert harness.proxy.upstreams.in_flight_quota.most() == 2
+    harness.limits.on_message(
         QuotaLeaseMessage(True, 2, 9, 77, peer_messages.name_digest(IN_FLIGHT_LIMIT), UNITS // 8)
     )
-    assert desk.said[-1][1].units == 0
+    assert harness.said[-1][1].units == 0
 
 
 def test_slots_and_in_flight_quota_are_shown_to_operators_and_requested() -> None:
-    desk = Lending(handshakesPerS=4.0, fetchesPerS=2.0, inFlight=64.0).spacious()
-    lines = desk.proxy.handle_call("limits")
+    harness = Lending(handshakesPerS=4.0, fetchesPerS=2.0, inFlight=64.0).with_high_limits()
+    lines = harness.proxy.handle_call("limits")
     assert all(
         f"limit.{name}:part=" in lines for name in (HANDSHAKE_SLOTS, ORIGIN_FETCH_SLOTS, IN_FLIGHT_LIMIT)
     )
-    desk.loop.run(4.0)
-    client = desk.client()
+    harness.loop.advance(4.0)
+    client = harness.client()
     for key in range(30):
-        client.feed(ask("read", key=key))
-    desk.loop.run(0.01)
-    desk.limits.wake()
-    asked = {word.limit for _, word in desk.said}
+        client.feed(encode_request("read", key=key))
+    harness.loop.advance(0.01)
+    harness.limits.wake()
+    asked = {word.limit for _, word in harness.said}
     assert peer_messages.name_digest(ORIGIN_FETCH_SLOTS) in asked
 
 
 def test_requests_that_may_need_origin_wait_for_slots() -> None:
-    desk = Lending(fetchesPerS=4.0, lendS=None)  # one a second at this proxy
-    client = desk.client()
-    desk.loop.run(2.0)
-    sends = desk.proxy.metrics.attempts_sent
+    harness = Lending(fetchesPerS=4.0, lendS=None)  # one a second at this proxy
+    client = harness.client()
+    harness.loop.advance(2.0)
+    sends = harness.proxy.metrics.attempts_sent
     for _ in range(8):
-        client.feed(ask("read", key=5))
-    desk.loop.run(0.05)
-    policy = desk.proxy.router.policy
-    assert policy.origin.turn > desk.proxy.now_ms()
-    assert len([c for c in desk.proxy.active_requests.values() if c.command is not None]) <= 1
-    assert desk.proxy.metrics.attempts_sent - sends <= 1
-    untold = Desk()
+        client.feed(encode_request("read", key=5))
+    harness.loop.advance(0.05)
+    policy = harness.proxy.router.policy
+    assert policy.origin.turn > harness.proxy.now_ms()
+    assert len([c for c in harness.proxy.active_requests.values() if c.command is not None]) <= 1
+    assert harness.proxy.metrics.attempts_sent - sends <= 1
+    untold = ProxyHarness()
     assert untold.proxy.router.origin_slots is None
     assert untold.proxy.router.policy.origin.turn == 0.0
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -14,7 +14,7 @@
 import pytest
 from click.testing import CliRunner
 from conftest import PROCESS_GROUPS
-from helpers import Desk, ask, endpoint, fleet, reply
+from helpers import ProxyHarness, deployment_settings, encode_reply, encode_request, endpoint
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -97,7 +97,7 @@
         CacheModel(OriginModel(6, 0.03), 2, 6, 64, 0.002, 0.01, 300, 0.2, 3.0, 3.0, 1.0) for _ in range(8)
     ]
     simulation = RoutingSimulation(
-        fleet(proxies=4, tenants=tenants),
+        deployment_settings(proxies=4, tenants=tenants),
         caches,
         OriginModel(6, 0.03),
         200.0,
@@ -165,10 +165,10 @@
 
 
 def test_state_restored_holds_all_fields_and_unknown_ones_raise() -> None:
-    router = Router(fleet(proxies=4), 7, 0.0)
+    router = Router(deployment_settings(proxies=4), 7, 0.0)
     router.on_endpoint_list(0.0, "full", 1, [("c1", "a", "box", 0, "ready", 1.0, 0.0)])
     state = json.loads(orjson.dumps(state_codec.encode_state(router)))
-    other = Router(fleet(proxies=4), 8, 5.0)
+    other = Router(deployment_settings(proxies=4), 8, 5.0)
     state_codec.restore_state(other, state)
     assert vars(other.policy).keys() == vars(router.policy).keys()
     assert other.policy.random_generator.random() == router.policy.random_generator.random()
@@ -180,7 +180,7 @@
     fields = dict(state["fields"])["policy"]["r"]
     state["table"][fields][1].pop()
     with pytest.raises(ValueError, match="fields differ"):
-        state_codec.restore_state(Router(fleet(), 1, 0.0), state)
+        state_codec.restore_state(Router(deployment_settings(), 1, 0.0), state)
 
 
 def test_replay_under_other_hash_seeds_makes_the_same_decisions(tmp_path: Path) -> None:
@@ -209,7 +209,7 @@
     monkeypatch.setattr(
         RoutingPolicy,
         "_has_room",
-        lambda self, now, limit, rpc: next(calls) != 40 and room(self, now, limit, rpc),
+        lambda self, now, limit, request: next(calls) != 40 and room(self, now, limit, request),
     )
     result = CliRunner().invoke(main, ["replay", str(file)])
     assert result.exit_code == 1
@@ -445,7 +445,7 @@
 # A proxy and its files
 
 
-class RecordingDesk(Desk):
+class RecordingHarness(ProxyHarness):
     """A proxy that records, on a clock that tests move; the recorder's thread does not run."""
 
     def __init__(self, folder: Path, **settings: Any) -> None:
@@ -454,9 +454,9 @@
         self.recorder = self.proxy.recorder
         self.recorder.thread.run = lambda: None
 
-    def node(self, *args: Any, **settings: Any) -> dict[str, Any]:
+    def node_file(self, *args: Any, **settings: Any) -> dict[str, Any]:
         settings.pop("tenants")
-        return super().node(*args, **settings) | {"record": self.record_settings}
+        return super().node_file(*args, **settings) | {"record": self.record_settings}
 
     def write(self) -> None:
         """Does what the thread would do."""
@@ -468,20 +468,20 @@
         """Serves requests, each answered by an endpoint."""
         client = self.client()
         for number in range(count):
-            client.feed(ask("save" if number % 3 == 2 else "read", number))
-            self.loop.run(0.01)
-            for stream, _ in self.loop.opened:
-                self.line(self.loop.opened.index((stream, _))).feed(reply())
-            self.loop.opened.clear()
-            self.loop.run(0.3)
+            client.feed(encode_request("save" if number % 3 == 2 else "read", number))
+            self.loop.advance(0.01)
+            for stream, _ in self.loop.connect_requests:
+                self.connect_upstream(self.loop.connect_requests.index((stream, _))).feed(encode_reply())
+            self.loop.connect_requests.clear()
+            self.loop.advance(0.3)
         self.recorder.turn()
 
 
 def test_proxy_record_replays_and_answers_queries(tmp_path: Path) -> None:
-    desk = RecordingDesk(tmp_path)
-    desk.list(endpoint("c1", "DRAINING"))
-    desk.serve()
-    desk.write()
+    harness = RecordingHarness(tmp_path)
+    harness.push_endpoint_list(endpoint("c1", "DRAINING"))
+    harness.serve()
+    harness.write()
     (file,) = tmp_path.glob("*.record")
     result = CliRunner().invoke(main, ["replay", str(tmp_path)])
     assert result.exit_code == 0, result.output
@@ -504,40 +504,42 @@
 
 
 def test_proxy_without_record_settings_has_a_plain_router() -> None:
-    assert type(Desk().proxy.router) is Router
-    assert Desk().proxy.recorder is None
+    assert type(ProxyHarness().proxy.router) is Router
+    assert ProxyHarness().proxy.recorder is None
 
 
 def test_save_command_links_segments_into_a_folder_that_is_not_cleaned_up(tmp_path: Path) -> None:
-    desk = RecordingDesk(tmp_path, keepMinutes=1e-9)
-    desk.serve()
-    answer = desk.proxy.handle_call("record")
+    harness = RecordingHarness(tmp_path, keepMinutes=1e-9)
+    harness.serve()
+    answer = harness.proxy.handle_call("record")
     assert answer.startswith("+OK saved in ")
-    desk.recorder.segment_writer.end_segment()
-    desk.recorder.turn()
-    desk.write()
+    harness.recorder.segment_writer.end_segment()
+    harness.recorder.turn()
+    harness.write()
     saved = [*Path(answer.split()[-1]).glob("*.record")]
     assert len(saved) == 1
     assert saved[0].name not in {path.name for path in tmp_path.glob("*.record")}
     result = CliRunner().invoke(main, ["replay", *map(str, saved)])
     assert result.exit_code == 0, result.output
-    assert any(line.startswith("record.events:") for line in desk.proxy.handle_call("recorded").splitlines())
+    assert any(
+        line.startswith("record.events:") for line in harness.proxy.handle_call("recorded").splitlines()
+    )
 
 
 def test_two_processes_of_one_proxy_with_a_clock_set_back_write_to_one_folder(
     tmp_path: Path,
 ) -> None:
-    old, new = RecordingDesk(tmp_path, secret="one of the operators'"), RecordingDesk(tmp_path)
+    old, new = RecordingHarness(tmp_path, secret="one of the operators'"), RecordingHarness(tmp_path)
     new.recorder.segment_writer.head["began"] -= 3600.0  # by the system's clock it came first
     new.recorder.system_clock = lambda: time.time() - 3600.0
     for number in range(2):
-        for desk in (old, new):
-            desk.serve(4)
+        for harness in (old, new):
+            harness.serve(4)
             if number:
-                desk.recorder.segment_writer.end_segment()
-                desk.recorder.turn()
-    for desk in (old, new):
-        desk.write()
+                harness.recorder.segment_writer.end_segment()
+                harness.recorder.turn()
+    for harness in (old, new):
+        harness.write()
     files = sorted(tmp_path.glob("*.record"))
     assert len(files) == 4
     assert len({file.name.split(".")[1] for file in files}) == 2
@@ -552,25 +554,25 @@
 ) -> None:
     file = tmp_path / "file"
     file.write_text("in the way")
-    desk = RecordingDesk(file / "folder")
+    harness = RecordingHarness(file / "folder")
     caplog.set_level("WARNING", "calicofall")
     for _ in range(3):
-        desk.serve()
-        desk.write()
-        desk.loop.run(6.0)
+        harness.serve()
+        harness.write()
+        harness.loop.advance(6.0)
     assert [record.message for record in caplog.records] == ["record not written"]
-    assert desk.recorder.lost > 0
+    assert harness.recorder.lost > 0
     file.unlink()
-    desk.serve()
-    desk.write()
-    assert desk.recorder.pending_bytes == 0
+    harness.serve()
+    harness.write()
+    assert harness.recorder.pending_bytes == 0
     assert CliRunner().invoke(main, ["replay", str(file / "folder")]).exit_code == 0
 
 
 def test_segment_files_on_a_disk_that_is_full_in_mid_frame_keep_whole_frames(tmp_path: Path) -> None:
-    desk = RecordingDesk(tmp_path)
-    desk.serve()
-    desk.write()
+    harness = RecordingHarness(tmp_path)
+    harness.serve()
+    harness.write()
 
     class Full:
         """Takes half of what it is given, then nothing."""
@@ -591,7 +593,7 @@
     (file,) = tmp_path.glob("*.record")
     size = file.stat().st_size
     with pytest.raises(OSError, match="No space"):
-        desk.recorder.files.write(Full(file), b"x" * 100)
+        harness.recorder.files.write(Full(file), b"x" * 100)
     assert file.stat().st_size == size
     assert CliRunner().invoke(main, ["replay", str(file)]).exit_code == 0
 
@@ -600,19 +602,19 @@
     tmp_path: Path,
 ) -> None:
     """The thread does nothing at all, as on a disk that does not answer."""
-    desk = RecordingDesk(tmp_path)
+    harness = RecordingHarness(tmp_path)
     for _ in range(40):
-        desk.recorder.note("command", key=7, tenant="acme", filler="x" * 300_000)
+        harness.recorder.note("command", key=7, tenant="acme", filler="x" * 300_000)
         began = time.monotonic()
-        desk.loop.run(0.26)
-        desk.recorder.turn()
+        harness.loop.advance(0.26)
+        harness.recorder.turn()
         assert time.monotonic() - began < 0.2
-    assert desk.recorder.pending_bytes <= MAX_PENDING_BYTES
-    assert desk.recorder.segment_writer.events_dropped > 0
+    assert harness.recorder.pending_bytes <= MAX_PENDING_BYTES
+    assert harness.recorder.segment_writer.events_dropped > 0
 
 
 def test_segment_files_beyond_the_size_to_keep_deletes_the_oldest(tmp_path: Path) -> None:
-    loop = Desk().loop
+    loop = ProxyHarness().loop
     settings = record_settings.RecordSettings(folder=str(tmp_path), segment_mb=0.001, keep_mb=0.002)
     recorder = Recorder(loop, settings, "n/1", "life", time.time)
     random_generator = Random(1)
@@ -634,10 +636,10 @@
 
 
 def test_replay_with_other_settings_or_another_version_counts_the_differences(tmp_path: Path) -> None:
-    desk = RecordingDesk(tmp_path)
-    desk.serve()
-    desk.write()
-    node = desk.node(tenants=None)
+    harness = RecordingHarness(tmp_path)
+    harness.serve()
+    harness.write()
+    node = harness.node_file(tenants=None)
     same, other = tmp_path / "same.json", tmp_path / "other.json"
     same.write_text(json.dumps(node))
     other.write_text(
@@ -791,12 +793,12 @@
 
 
 def test_record_of_a_request_at_its_length_limit_holds_no_value(tmp_path: Path) -> None:
-    desk = RecordingDesk(tmp_path)
-    client = desk.client()
-    client.feed(ask("save", value=b"v" * 70_000))
-    desk.loop.run(0.05)
-    desk.recorder.turn()
-    desk.write()
+    harness = RecordingHarness(tmp_path)
+    client = harness.client()
+    client.feed(encode_request("save", value=b"v" * 70_000))
+    harness.loop.advance(0.05)
+    harness.recorder.turn()
+    harness.write()
     (file,) = tmp_path.glob("*.record")
     assert file.stat().st_size < 20_000
     assert CliRunner().invoke(main, ["replay", str(file)]).exit_code == 0
@@ -811,7 +813,7 @@
         loop = asyncio.get_running_loop()
         settings = record_settings.RecordSettings(folder=str(tmp_path))
         recorder = Recorder(loop, settings, "n0", "life", time.time)
-        router = recorder.make(fleet(), 1, 0.0, False, 0.0)
+        router = recorder.make(deployment_settings(), 1, 0.0, False, 0.0)
         recorder.start()
         router.on_endpoint_list(0.0, "full", 1, [("c1", "a", "box", 0, "ready", 1.0, 0.0)])
         await asyncio.sleep(0.4)
--- a/tests/test_routing_components.py
+++ b/tests/test_routing_components.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from helpers import fleet, rpc_for
+from helpers import deployment_settings, make_request
 
 from calicofall.routing.actions import (
     Action,
@@ -29,7 +29,7 @@
 from calicofall.routing.settings import Deployment, MethodSettings, RoutingSettings
 from calicofall.routing.tenant_quota import BURST_REQUESTS, TenantQuotas, shares_of
 
-READ, SAVE, ORDER = (MethodSettings.of(method) for method in fleet()["methods"])
+READ, SAVE, ORDER = (MethodSettings.of(method) for method in deployment_settings()["methods"])
 
 
 def entry(name: str, state: str = "ready", started: float = 0.0, zone: str = "a") -> tuple[Any, ...]:
@@ -39,7 +39,7 @@
 
 def table_of(**rules: Any) -> EndpointTable:
     """An empty endpoint table."""
-    deployment = fleet()
+    deployment = deployment_settings()
     deployment["rules"] |= rules
     return EndpointTable(RoutingSettings(deployment), Deployment(deployment))
 
@@ -115,7 +115,7 @@
 
 
 def test_tenant_quota_beyond_its_burst_refuses_until_tokens_come_back() -> None:
-    quotas = TenantQuotas(0.0, {"a": 0.01}, Deployment(fleet()), Random(1))
+    quotas = TenantQuotas(0.0, {"a": 0.01}, Deployment(deployment_settings()), Random(1))
     quotas.buckets["a"][0] = 2.0
 
     assert [quotas.admit(0.0, "a") for _ in range(3)] == [True, True, False]
@@ -133,13 +133,13 @@
 def test_tenant_quota_without_a_bucket_admits_all_but_those_of_zero(
     tenant: str | None, admitted: bool
 ) -> None:
-    quotas = TenantQuotas(0.0, {"zero": 0.0}, Deployment(fleet()), Random(1))
+    quotas = TenantQuotas(0.0, {"zero": 0.0}, Deployment(deployment_settings()), Random(1))
 
     assert quotas.admit(0.0, tenant) is admitted
 
 
 def test_tenant_quota_apply_settings_keeps_buckets_and_starts_new_ones_empty() -> None:
-    quotas = TenantQuotas(0.0, {"a": 0.01}, Deployment(fleet()), Random(1))
+    quotas = TenantQuotas(0.0, {"a": 0.01}, Deployment(deployment_settings()), Random(1))
     quotas.buckets["a"] = [BURST_REQUESTS, 0.0]
 
     quotas.apply_settings(500.0, shares_of([{"name": "a", "quota": 10.0}, {"name": "b"}], 2))
@@ -318,9 +318,9 @@
 def test_give_up_rejects_only_where_a_repeat_is_harmless(
     method: MethodSettings, outcome: AttemptOutcome, decision: type[Reject | Fail]
 ) -> None:
-    settings = RoutingSettings(fleet())
+    settings = RoutingSettings(deployment_settings())
     retries = RetryPolicy(settings, LatencyBaselines([], 500.0), 1, Random(1))
-    request = rpc_for("read")
+    request = make_request("read")
     request.attempts.append(Attempt("c1", 0.0, outcome=outcome))
 
     given_up = retries.give_up(request, method, Random(2))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,7 +3,7 @@
 from random import Random
 
 import pytest
-from helpers import fleet, rpc_for
+from helpers import deployment_settings, make_request
 
 from calicofall.routing.actions import CloseConnections, LogLine, PollEndpointList, SendGossip
 from calicofall.routing.decisions import Decision, Fail, Forward, Wait
@@ -107,7 +107,7 @@
 @pytest.mark.parametrize("seed", range(24))
 def test_decisions_on_generated_days_keep_the_rules(seed: int) -> None:
     random_generator = Random(seed)
-    deployment = fleet(aside=seed % 2 == 0, proxies=random_generator.choice([1, 3]))
+    deployment = deployment_settings(cache_aside=seed % 2 == 0, proxies=random_generator.choice([1, 3]))
     deployment["methods"][1]["group"] = random_generator.choice(["all", "cell"])
     deployment["methods"][1]["window"] = random_generator.choice([300.0, 5000.0])
     deployment["discovery"] = random_generator.choice(["push", "ask"])
@@ -225,7 +225,7 @@
                 random_generator.choice(["read", "read", "save", "order"]),
                 random_generator.choice([None, 1, 2, 3]),
             )
-            request = rpc_for(method, key, now, now + random_generator.uniform(20.0, 1500.0))
+            request = make_request(method, key, now, now + random_generator.uniform(20.0, 1500.0))
             hand[request.id] = request
             watch.taken.append(now)
             act(request, policy.decide(now, request))
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -38,7 +38,7 @@
 from calicofall.testbed.runner import ScenarioRunner
 from calicofall.testbed.server_models import CacheModel, DiscoveryModel, OriginModel
 
-ROGUES = Path(__file__).with_name("rogues.py")
+FAULTY_PROXY_SCRIPT = Path(__file__).with_name("rogues.py")
 # Tests that start processes of the program run in two rows side by side, each on cores of its own.
 FIRST, SECOND = (pytest.mark.xdist_group(row) for row in PROCESS_GROUPS)
 SMALL = {
@@ -521,8 +521,11 @@
             {"at": 0.0, "until": 5.5, "do": "cut", "who": "p2,p8", "to": "list", "way": "back"},
         ],
     )
-    commands = {number: [sys.executable, str(ROGUES), name, "serve"] for number, name in enumerate(CAUGHT)}
-    os.environ["PYTHONPATH"] = str(ROGUES.parent.parent)
+    commands = {
+        number: [sys.executable, str(FAULTY_PROXY_SCRIPT), name, "serve"]
+        for number, name in enumerate(CAUGHT)
+    }
+    os.environ["PYTHONPATH"] = str(FAULTY_PROXY_SCRIPT.parent.parent)
     verdict, _ = played(plan, tmp_path, commands=commands)
     found: dict[str, set[str]] = {}
     for finding in verdict.findings:
@@ -544,7 +547,7 @@
         "fetches_per_s": 10.0,
         "in_flight": 10.0,
     }
-    for rogue, rule, changes in (
+    for variant, rule, changes in (
         ("asks_at_once", "asks", {"service": {"room": 4.0}}),
         ("opens_beyond_share", "handshakes", {"service": {"room": 100.0}}),
         (
@@ -578,10 +581,12 @@
             must=must,
             **{"traffic": {"per_s": 150.0}, "cache": {"handshakes": 20.0, "connections": 20}} | changes,
         )
-        commands = {number: [sys.executable, str(ROGUES), rogue, "serve"] for number in range(10)}
-        os.environ["PYTHONPATH"] = str(ROGUES.parent.parent)
-        verdict, _ = played(plan, tmp_path / rogue, commands=commands)
-        assert not verdict.void and rule in {finding.rule for finding in verdict.findings}, rogue
+        commands = {
+            number: [sys.executable, str(FAULTY_PROXY_SCRIPT), variant, "serve"] for number in range(10)
+        }
+        os.environ["PYTHONPATH"] = str(FAULTY_PROXY_SCRIPT.parent.parent)
+        verdict, _ = played(plan, tmp_path / variant, commands=commands)
+        assert not verdict.void and rule in {finding.rule for finding in verdict.findings}, variant
 
 
 AGREEING = {
@@ -621,11 +626,11 @@
 
 @FIRST
 def test_a_proxy_that_ignores_its_lease_is_found(tmp_path: Path) -> None:
-    os.environ["PYTHONPATH"] = str(ROGUES.parent.parent)
-    rogue = [sys.executable, str(ROGUES), "ignores_its_lease", "serve"]
+    os.environ["PYTHONPATH"] = str(FAULTY_PROXY_SCRIPT.parent.parent)
+    command = [sys.executable, str(FAULTY_PROXY_SCRIPT), "ignores_its_lease", "serve"]
     # The stopped one has five seconds of orders from when it is woken; in two seconds it may have none.
     plan = scenario.parse_scenario(AGREEING | {"seconds": 19.0}, "agreeing")
-    verdict, _ = played(plan, tmp_path, commands={0: rogue, 3: rogue})
+    verdict, _ = played(plan, tmp_path, commands={0: command, 3: command})
     assert {finding.proxy for finding in verdict.findings if finding.rule == "versions"} == {"p0", "p3"}
 
 
@@ -647,9 +652,9 @@
         "must": {"halted_s": 6.0},
         "event": [{"at": 6.0, "do": "try", "zones": "ab", "who": "p1,p3,p4,p6", "span": 8.0, "bad": True}],
     }
-    os.environ["PYTHONPATH"] = str(ROGUES.parent.parent)
+    os.environ["PYTHONPATH"] = str(FAULTY_PROXY_SCRIPT.parent.parent)
     commands = {
-        number: [sys.executable, str(ROGUES), name, "serve"]
+        number: [sys.executable, str(FAULTY_PROXY_SCRIPT), name, "serve"]
         for number, name in ((3, "never_halts"), (7, "tries_unasked"))
     }
     verdict, _ = played(scenario.parse_scenario(plan, "trying"), tmp_path, commands=commands)
@@ -767,11 +772,11 @@
     plan["event"] = [one | {"at": one["at"] - 5.0, "until": 21.0} for one in plan["event"]]
     plan["event"].append(plan["event"][0] | {"do": "sick_large", "who": "c6", "amount": 60.0})
     plan["traffic"] |= {"large": 0.4, "keys": 100}
-    os.environ["PYTHONPATH"] = str(ROGUES.parent.parent)
+    os.environ["PYTHONPATH"] = str(FAULTY_PROXY_SCRIPT.parent.parent)
     verdict, _ = played(
         scenario.parse_scenario(plan, "sick"),
         tmp_path,
-        commands={1: [sys.executable, str(ROGUES), "lies_of_caches", "serve"]},
+        commands={1: [sys.executable, str(FAULTY_PROXY_SCRIPT), "lies_of_caches", "serve"]},
     )
     assert verdict.word == "passed", (verdict.void, verdict.findings[:5])
     assert 0.0 < verdict.figures["sick_sent"] <= 0.75 and 0.0 < verdict.figures["sick_large_sent"] <= 0.75
