--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -10,7 +10,16 @@
 
 import pytest
 from click.testing import CliRunner
-from helpers import HEAD, SETTINGS, Desk, Loop, Wire, ask, endpoint, reply
+from helpers import (
+    CHUNKED_RESPONSE_HEAD,
+    SETTINGS,
+    FakeEventLoop,
+    FakeTransport,
+    ProxyHarness,
+    encode_reply,
+    encode_request,
+    endpoint,
+)
 
 from calicofall.cli.main import main
 from calicofall.config.endpoint_list import parse_endpoint_list
@@ -144,12 +153,12 @@
     assert max(attempts) <= 5.5
 
 
-def discovery_of(proxies: int, room: float, served: bool) -> tuple[Loop, list, Discovery]:
+def discovery_of(proxies: int, room: float, served: bool) -> tuple[FakeEventLoop, list, Discovery]:
     """A proxy's discovery on a simulated loop, and the phases that it reports.
 
     All peers of the proxy are served already, or none is.
     """
-    loop = Loop()
+    loop = FakeEventLoop()
     phases = []
     slots = TimeSlots(proxies // 2, proxies, room, loop.time(), 7_000.0)
     schedule = DiscoverySchedule(Random(1), proxies, 5.0, slots)
@@ -164,42 +173,42 @@
 def test_discovery_under_contention_waits_for_its_slot_and_asks_a_lost_service_once_a_period() -> None:
     def run_until_next_attempt() -> float:
         """How long it took, in seconds."""
-        attempts = len(loop.opened)
+        attempts = len(loop.connect_requests)
         began = loop.time()
-        while len(loop.opened) == attempts and loop.time() < began + 20.0:
-            loop.run(0.05)
-        assert len(loop.opened) == attempts + 1
+        while len(loop.connect_requests) == attempts and loop.time() < began + 20.0:
+            loop.advance(0.05)
+        assert len(loop.connect_requests) == attempts + 1
         return loop.time() - began
 
     loop, phases, discovery = discovery_of(100, 10.0, served=False)
     run_until_next_attempt()
-    wire = Wire(loop.opened[0][0])
+    transport = FakeTransport(loop.connect_requests[0][0])
     assert phases == ["list asked"]
-    wire.feed(HEAD + b"2\r\n\n\n\r\n")
+    transport.feed(CHUNKED_RESPONSE_HEAD + b"2\r\n\n\n\r\n")
     assert phases == ["list asked", "list heard", "list heard"]
     assert discovery.is_live
-    wire.abort()
+    transport.abort()
     assert not discovery.is_live
     run_until_next_attempt()
     for _ in range(5):  # nobody answers: once a period, not twice a second
-        loop.opened[-1][0].abort()
+        loop.connect_requests[-1][0].abort()
         assert run_until_next_attempt() > 9.8
 
 
 def test_discovery_alone_asks_at_once_and_keeps_retry_after() -> None:
     loop, _, _ = discovery_of(100, 10.0, served=True)
-    assert len(loop.opened) == 1
-    Wire(loop.opened[0][0]).feed(b"HTTP/1.1 503 No\r\nRetry-After: 12\r\n")
-    loop.run(0.5)
-    assert len(loop.opened) == 1
-    assert not loop.opened[0][0].closed  # the head is not complete
-    loop.opened[0][0].buffer_updated(0)
-    Wire.feed(loop.opened[0][0].transport, b"\r\n")
-    assert loop.opened[0][0].closed
-    loop.run(11.9)
-    assert len(loop.opened) == 1
-    loop.run(10.1)
-    assert len(loop.opened) == 2
+    assert len(loop.connect_requests) == 1
+    FakeTransport(loop.connect_requests[0][0]).feed(b"HTTP/1.1 503 No\r\nRetry-After: 12\r\n")
+    loop.advance(0.5)
+    assert len(loop.connect_requests) == 1
+    assert not loop.connect_requests[0][0].closed  # the head is not complete
+    loop.connect_requests[0][0].buffer_updated(0)
+    FakeTransport.feed(loop.connect_requests[0][0].transport, b"\r\n")
+    assert loop.connect_requests[0][0].closed
+    loop.advance(11.9)
+    assert len(loop.connect_requests) == 1
+    loop.advance(10.1)
+    assert len(loop.connect_requests) == 2
 
 
 # A large fleet, simulated
@@ -343,7 +352,7 @@
 
 
 def test_gossip_transport_answers_questions_and_drops_unasked_answers() -> None:
-    loop = Loop()
+    loop = FakeEventLoop()
     fractions = []
     addresses = [(f"10.0.0.{i}", 7946) for i in range(4)]
     estimate = ContentionEstimate(0, 4, 4.0, Random(1))
@@ -371,7 +380,7 @@
         )
     assert not fractions
     assert peers.dropped == {"unasked": 2}
-    loop.run(ANSWER_TIMEOUT_S + 0.01)
+    loop.advance(ANSWER_TIMEOUT_S + 0.01)
     assert fractions == [pytest.approx(2 / 3)]
     peers.datagram_received(b"nonsense", ("x", 1))
     assert peers.dropped["digest"] == 1
@@ -405,87 +414,87 @@
     assert unlimited.most is None
 
 
-def desk_with_start_settings(caches: int = 3, **start: object) -> Desk:
+def harness_with_start_settings(caches: int = 3, **start: object) -> ProxyHarness:
     """A proxy on a simulated loop whose configuration has these `start` settings."""
 
-    class DeskWithStartSettings(Desk):
+    class HarnessWithStartSettings(ProxyHarness):
         @staticmethod
-        def node(*values: int, **settings: object) -> dict:
-            return Desk.node(*values, **settings) | {"start": start}
+        def node_file(*values: int, **settings: object) -> dict:
+            return ProxyHarness.node_file(*values, **settings) | {"start": start}
 
-    return DeskWithStartSettings(caches)
+    return HarnessWithStartSettings(caches)
 
 
 def test_connection_waits_for_its_slot_within_the_latency_objective_or_the_request_is_rejected() -> None:
     """Two proxies, a handshake every two seconds: a slot too far off is no fault of the endpoint."""
-    desk = desk_with_start_settings(caches=1, handshakesPerS=1.0).spacious()
-    client = desk.client()
-    now = desk.loop.time()
-    desk.proxy.connection_quotas.begin(
+    harness = harness_with_start_settings(caches=1, handshakesPerS=1.0).with_high_limits()
+    client = harness.client()
+    now = harness.loop.time()
+    harness.proxy.connection_quotas.begin(
         "c1",
-        desk.proxy.upstreams.pools["c1"].order_offset,
+        harness.proxy.upstreams.pools["c1"].order_offset,
         now,
-        now + desk.proxy.upstreams.common_clock_offset_s,
+        now + harness.proxy.upstreams.common_clock_offset_s,
     )
-    client.feed(ask())  # its slot has just been taken: the next is two seconds off
-    desk.loop.run(0.01)
+    client.feed(encode_request())  # its slot has just been taken: the next is two seconds off
+    harness.loop.advance(0.01)
     assert client.take().startswith(b"-BUSY")
-    assert not desk.loop.opened
-    cache = desk.proxy.router.policy.endpoints.caches["c1"]
+    assert not harness.loop.connect_requests
+    cache = harness.proxy.router.policy.endpoints.caches["c1"]
     assert cache.admitted_fraction == 1.0
     assert not cache.ejected
-    slots = desk.proxy.connection_quotas.slots["c1"]
+    slots = harness.proxy.connection_quotas.slots["c1"]
     slot = slots.taken_at_s + slots.time_slots.gap
-    desk.loop.run(slot - desk.loop.time() - 0.1)
-    client.feed(ask())
-    assert not desk.loop.opened
-    desk.loop.run(0.2)
-    assert len(desk.loop.opened) == 1
-    desk.line().feed(reply(b"fresh"))
+    harness.loop.advance(slot - harness.loop.time() - 0.1)
+    client.feed(encode_request())
+    assert not harness.loop.connect_requests
+    harness.loop.advance(0.2)
+    assert len(harness.loop.connect_requests) == 1
+    harness.connect_upstream().feed(encode_reply(b"fresh"))
     assert client.take() == b"$5\r\nfresh\r\n"
 
 
 def test_connection_of_a_stopped_process_takes_the_next_slot() -> None:
-    desk = desk_with_start_settings(caches=1, handshakesPerS=1.0).spacious()
-    pool = desk.proxy.upstreams.pools["c1"]
-    now = desk.loop.time()
-    slot = desk.proxy.connection_quotas.begin(
-        "c1", pool.order_offset, now, now + desk.proxy.upstreams.common_clock_offset_s
+    harness = harness_with_start_settings(caches=1, handshakesPerS=1.0).with_high_limits()
+    pool = harness.proxy.upstreams.pools["c1"]
+    now = harness.loop.time()
+    slot = harness.proxy.connection_quotas.begin(
+        "c1", pool.order_offset, now, now + harness.proxy.upstreams.common_clock_offset_s
     )
-    desk.proxy.connection_quotas.back("c1", slot)
+    harness.proxy.connection_quotas.back("c1", slot)
     connection = pool.open_another(5.0)
     assert connection is not None
     assert connection.opens_at >= now
-    desk.loop.calls = [call for call in desk.loop.calls if call.call != pool.open_when_due]
-    desk.loop.clock = connection.opens_at + 0.7  # the process was stopped while its slot went by
+    harness.loop.calls = [call for call in harness.loop.calls if call.callback != pool.open_when_due]
+    harness.loop.clock = connection.opens_at + 0.7  # the process was stopped while its slot went by
     pool.open_when_due(connection)
-    assert not desk.loop.opened
-    assert connection.opens_at > desk.loop.clock
-    desk.loop.run(2.1)
-    assert len(desk.loop.opened) == 1
+    assert not harness.loop.connect_requests
+    assert connection.opens_at > harness.loop.clock
+    harness.loop.advance(2.1)
+    assert len(harness.loop.connect_requests) == 1
 
 
 def test_connections_to_an_endpoint_stay_within_the_proxys_quota() -> None:
-    desk = desk_with_start_settings(caches=1, connections=4).spacious()
-    clients = [desk.client() for _ in range(5)]
+    harness = harness_with_start_settings(caches=1, connections=4).with_high_limits()
+    clients = [harness.client() for _ in range(5)]
     for number, client in enumerate(clients):
-        client.feed(ask(key=number))
-    assert len(desk.loop.opened) == 2  # four for two proxies; the rest share what there is
+        client.feed(encode_request(key=number))
+    assert len(harness.loop.connect_requests) == 2  # four for two proxies; the rest share what there is
 
 
 def test_endpoints_warming_up_get_more_requests_where_their_capacity_is_configured() -> None:
     """Without it, a fleet that is all new sends each endpoint three requests a second in all."""
 
     def count_forwarded(**start: object) -> int:
-        desk = desk_with_start_settings(caches=3, **start)
-        now = desk.proxy.now_ms()
-        desk.list(*(endpoint(f"c{i}") | {"since_ms": now} for i in range(1, 4)))
-        desk.spacious()
+        harness = harness_with_start_settings(caches=3, **start)
+        now = harness.proxy.now_ms()
+        harness.push_endpoint_list(*(endpoint(f"c{i}") | {"since_ms": now} for i in range(1, 4)))
+        harness.with_high_limits()
         count = 0
         for number in range(200):
-            client = desk.client()
-            client.feed(ask(key=number))
-            desk.loop.run(0.01)
+            client = harness.client()
+            client.feed(encode_request(key=number))
+            harness.loop.advance(0.01)
             count += not client.take().startswith(b"-BUSY")
             client.abort()
         return count
@@ -501,7 +510,7 @@
 
     async def start_refused_then_listed() -> tuple[bool, bool]:
         loop = asyncio.get_running_loop()
-        node = Desk.node() | {"known": None, "listen": "127.0.0.1:6399"}
+        node = ProxyHarness.node_file() | {"known": None, "listen": "127.0.0.1:6399"}
         proxy = Proxy(node, loop, lambda *values: None)
         proxy.discovery.answered.set()  # refused
         waits_for_list = asyncio.create_task(proxy.wait_for_list())
@@ -564,7 +573,7 @@
 
 
 def test_proxy_with_a_snapshot_starts_from_the_learned_state(tmp_path: Path) -> None:
-    first = desk_with_start_settings(snapshot=str(tmp_path)).proxy
+    first = harness_with_start_settings(snapshot=str(tmp_path)).proxy
     policy = first.router.policy
     policy.fleet.value = 40.0
     policy.latency.baselines["read"] = 9.0
@@ -573,7 +582,7 @@
     assert first.encode_snapshot() is None  # nothing while the list is not known to hold
     first.discovery.has_answered = True
     first.snapshot_store.write(first.encode_snapshot())
-    second = desk_with_start_settings(snapshot=str(tmp_path)).proxy
+    second = harness_with_start_settings(snapshot=str(tmp_path)).proxy
     again = second.router.policy
     assert again.fleet.value == 20.0
     assert again.latency.baselines["read"] == 9.0
@@ -582,25 +591,28 @@
     assert second.upstreams.pools["c2"].address == ("10.1.0.2", 6379)
     (tmp_path / "n0.snapshot").write_bytes(b"half")
     assert (
-        desk_with_start_settings(snapshot=str(tmp_path)).proxy.router.policy.latency.baselines["read"] is None
+        harness_with_start_settings(snapshot=str(tmp_path)).proxy.router.policy.latency.baselines["read"]
+        is None
     )
     assert not list(tmp_path.glob(".snapshot-*"))
 
 
 def test_proxy_with_other_settings_or_discovery_address_ignores_the_snapshot(tmp_path: Path) -> None:
     """Two customers' proxies of one name in one folder; a proxy whose settings were changed meanwhile."""
-    first = desk_with_start_settings(snapshot=str(tmp_path)).proxy
+    first = harness_with_start_settings(snapshot=str(tmp_path)).proxy
     first.router.policy.latency.baselines["read"] = 9.0
     first.discovery.has_answered = True
     first.snapshot_store.write(first.encode_snapshot())
     assert (
-        desk_with_start_settings(snapshot=str(tmp_path)).proxy.router.policy.latency.baselines["read"] == 9.0
+        harness_with_start_settings(snapshot=str(tmp_path)).proxy.router.policy.latency.baselines["read"]
+        == 9.0
     )
     first.discovery.change_address("10.2.0.9:8500")  # its list is another service's from here on
     first.discovery.has_answered = True
     first.snapshot_store.write(first.encode_snapshot())
     assert (
-        desk_with_start_settings(snapshot=str(tmp_path)).proxy.router.policy.latency.baselines["read"] is None
+        harness_with_start_settings(snapshot=str(tmp_path)).proxy.router.policy.latency.baselines["read"]
+        is None
     )
     node = first.node["settings"]
     assert snapshot.snapshot_owner("n0", node, "a:1") != snapshot.snapshot_owner(
@@ -615,13 +627,13 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     (tmp_path / "file").write_bytes(b"")
-    failing = SnapshotStore(Loop(), str(tmp_path / "file" / "folder"), "n0", lambda: b"data")
+    failing = SnapshotStore(FakeEventLoop(), str(tmp_path / "file" / "folder"), "n0", lambda: b"data")
     with caplog.at_level("WARNING", "calicofall"):
         for _ in range(3):
             failing.write(b"data")  # no folder can be made there
     assert len([record for record in caplog.records if record.message == "snapshot not written"]) <= 1
     assert failing.load("n0", time.time(), 30.0) is None
-    good = SnapshotStore(Loop(), str(tmp_path), "n0", lambda: b"data")
+    good = SnapshotStore(FakeEventLoop(), str(tmp_path), "n0", lambda: b"data")
     good.write(b"old")
     replace = os.replace
     try:
@@ -656,7 +668,7 @@
 )
 def test_check_with_wrong_start_settings_prints_one_line(start: object, field: str, tmp_path: Path) -> None:
     file = tmp_path / "node.json"
-    file.write_text(json.dumps(Desk.node() | {"start": start}))
+    file.write_text(json.dumps(ProxyHarness.node_file() | {"start": start}))
     result = CliRunner().invoke(main, ["check", "--config", str(file)])
     assert result.exit_code == 1
     assert field in result.output
@@ -686,7 +698,7 @@
 
 
 def test_proxy_without_start_settings_has_no_peers_snapshot_or_quotas() -> None:
-    proxy = Desk().proxy
+    proxy = ProxyHarness().proxy
     assert proxy.gossip is None
     assert proxy.snapshot_store is None
     assert proxy.discovery.schedule.grid is None
@@ -697,12 +709,12 @@
 
 
 def test_phases_are_reported_once_each_with_their_times() -> None:
-    desk = Desk()
-    assert "start.first_RPC:-" in desk.proxy.handle_call("phases")
-    client = desk.client()
+    harness = ProxyHarness()
+    assert "start.first_RPC:-" in harness.proxy.handle_call("phases")
+    client = harness.client()
     for _ in range(2):
-        desk.loop.run(0.2)
-        client.feed(ask())
-        desk.line().feed(reply(b"fresh"))
-    assert "start.first_RPC:200" in desk.proxy.handle_call("phases")
-    assert desk.proxy.handle_call("phases").endswith("\n.")
+        harness.loop.advance(0.2)
+        client.feed(encode_request())
+        harness.connect_upstream().feed(encode_reply(b"fresh"))
+    assert "start.first_RPC:200" in harness.proxy.handle_call("phases")
+    assert harness.proxy.handle_call("phases").endswith("\n.")
--- a/tests/test_state_schema.py
+++ b/tests/test_state_schema.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from helpers import fleet
+from helpers import deployment_settings
 
 from calicofall.recording import frames
 from calicofall.recording.state_codec import encode_state, restore_state
@@ -55,7 +55,7 @@
 
 def live_router() -> Router:
     """A router with an endpoint and a request in flight."""
-    router = Router(fleet(proxies=4), 7, 0.0)
+    router = Router(deployment_settings(proxies=4), 7, 0.0)
     router.on_endpoint_list(0.0, "full", 1, [("c1", "a", "box", 0, "ready", 1.0, 0.0)])
     router.route(15_000.0, Request("r1", "read", None, 7, False, 15_000.0, 15_900.0))
     return router
@@ -149,7 +149,7 @@
 
 def test_restore_state_restores_an_object_held_by_two_fields_as_one() -> None:
     """Endpoints stand in the table of endpoints and among the usable ones; requests wait and are in hand."""
-    router = Router(fleet(), 1, 0.0)
+    router = Router(deployment_settings(), 1, 0.0)
 
     restore_state(router, json.loads(frames.encode_json(encode_state(live_router()))))
 
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -1,7 +1,7 @@
 """What two further deployments brought: slow ways, jams of an origin asked directly, lists that err."""
 
 import pytest
-from helpers import fleet, rpc_for, send
+from helpers import deployment_settings, make_request, route_request
 
 from calicofall.routing.decisions import Forward, Reject
 from calicofall.routing.policy import RoutingPolicy
@@ -17,13 +17,13 @@
 
 
 def aside(zone: str = "a", **changes: object) -> RoutingPolicy:
-    policy = RoutingPolicy(fleet(aside=True, zone=zone, **changes), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(cache_aside=True, zone=zone, **changes), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, entries())
     return policy
 
 
 def answered(policy: RoutingPolicy, now: float, name: str, took: float, outcome: str = "completed") -> None:
-    request = rpc_for("read", int(now), now - took, now + 500.0)
+    request = make_request("read", int(now), now - took, now + 500.0)
     request.attempts.append(Attempt(name, now - took, outcome=outcome))
     policy.endpoints.caches[name].held += 1
     policy.fleet.acquire(now - took, 1.0)
@@ -47,7 +47,9 @@
     slow_way(policy)
     behind = [cache for cache in policy.endpoints.caches.values() if cache.zone == "b"]
     assert all(policy.zone_latency.extra_ms(cache) > 150.0 and not cache.ejected for cache in behind)
-    decisions = [send(policy, 6000.0, rpc_for("read", key, 6000.0, 7000.0)) for key in range(4000, 4400)]
+    decisions = [
+        route_request(policy, 6000.0, make_request("read", key, 6000.0, 7000.0)) for key in range(4000, 4400)
+    ]
     sends = [one.endpoint for one in decisions if isinstance(one, Forward)]
     policy.fleet.held = 0.0
     owners = sum(policy.placement.ranking(key)[0].zone == "b" for key in range(4000, 4400))
@@ -71,14 +73,14 @@
     """tan-son-nhat big-1: its limit fell to the floor and turned a third away while the origin idled."""
     policy = aside()
     for now in range(0, 4000, 20):
-        policy.origin_protection.on_direct_result(now, rpc_for("read", now), "completed", 20.0)
+        policy.origin_protection.on_direct_result(now, make_request("read", now), "completed", 20.0)
     slow_way(policy)
     before = policy.origin.value
     for now in range(6000, 9000, 20):
-        policy.origin_protection.on_direct_result(now, rpc_for("read", now), "completed", 220.0)
+        policy.origin_protection.on_direct_result(now, make_request("read", now), "completed", 220.0)
         policy.next_wakeup(now)
     assert policy.origin.value >= before
-    policy.origin.held, request = 0.0, rpc_for("read", 5, 9000.0, 9900.0)
+    policy.origin.held, request = 0.0, make_request("read", 5, 9000.0, 9900.0)
     policy._forward(9000.0, request, policy.endpoints.direct_origin, 1.0)
     assert policy.origin.held < 0.3  # most of that time it is on the way, and no load of the origin
 
@@ -99,9 +101,9 @@
 
 def test_fetch_past_the_objective_rejects_the_client_and_goes_on() -> None:
     """Called off, fetches were not stored and missed again: the jam at a day's start never ended."""
-    router = Router(fleet(aside=True), 1, 0.0)
+    router = Router(deployment_settings(cache_aside=True), 1, 0.0)
     router.on_endpoint_list(0.0, "full", 1, entries())
-    request = rpc_for("read", 7, 0.0, 1500.0)
+    request = make_request("read", 7, 0.0, 1500.0)
     cache = router.route(0.0, request)
     assert cache != "o"
     assert request.timeout_ms < 500.0
@@ -119,12 +121,12 @@
 
 @pytest.mark.parametrize(("method", "late"), [("read", 0.5), ("order", 0.0)])
 def test_timeout_of_a_method_with_late_value_is_the_deadline(method: str, late: float) -> None:
-    deployment = fleet(aside=True)
+    deployment = deployment_settings(cache_aside=True)
     for one in deployment["methods"]:
         one["late_gain"] = late
     policy = RoutingPolicy(deployment, 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, entries())
-    assert send(policy, 0.0, rpc_for(method, 7, 0.0, 1500.0)).timeout_ms == 1500.0
+    assert route_request(policy, 0.0, make_request(method, 7, 0.0, 1500.0)).timeout_ms == 1500.0
 
 
 def test_retry_after_an_origin_overload_goes_only_where_the_key_is_cached() -> None:
@@ -135,9 +137,9 @@
     for holder, wanted in ((None, Reject), (third, Forward)):
         if holder is not None:
             policy.cached_keys.holders[0].add((7, holder.name))
-        request = rpc_for("read", 7, 1000.0, 2000.0)
+        request = make_request("read", 7, 1000.0, 2000.0)
         policy.origin.held = 1000.0  # no room to spare
-        assert send(policy, 1000.0, request).endpoint == first.name
+        assert route_request(policy, 1000.0, request).endpoint == first.name
         request.attempts[0].outcome = "full"
         decision = policy.on_attempt_result(1001.0, request, 0, 1.0, None, None)
         assert type(decision) is wanted
@@ -157,8 +159,8 @@
         )
         zones = []
         for now in range(0, 900, 100):
-            request = rpc_for("read", key, now, now + 900.0)
-            zones.append(policy.endpoints.caches[send(policy, now, request).endpoint].zone)
+            request = make_request("read", key, now, now + 900.0)
+            zones.append(policy.endpoints.caches[route_request(policy, now, request).endpoint].zone)
             request.attempts[0].outcome, request.finished = "completed", True
             policy.on_attempt_result(now + 20.0, request, 0, 20.0, "hit", None)
         assert zones[0] != "a"
@@ -167,12 +169,12 @@
 
 def test_free_methods_leave_room_for_bound_ones() -> None:
     """Bound requests found their caches full of what could have gone elsewhere."""
-    methods = fleet()["methods"]
+    methods = deployment_settings()["methods"]
     bound = methods[0] | {"name": "bound", "zones_open": ["a"]}
-    policy = RoutingPolicy(fleet(methods=[methods[0], bound]), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(methods=[methods[0], bound]), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, [entry for entry in entries(30) if entry != ORIGIN])
     for now in range(0, 5000, 10):  # a quarter of all is bound to a third of the caches
-        send(policy, now, rpc_for("bound" if now % 40 == 0 else "read", now, now, now + 900.0))
+        route_request(policy, now, make_request("bound" if now % 40 == 0 else "read", now, now, now + 900.0))
         policy.fleet.held = 0.0
         policy.next_wakeup(now)
     owners = [policy.placement.ranking(key)[0].zone for key in range(3000)]
@@ -185,7 +187,7 @@
     kind: str, alone: bool, kept: bool
 ) -> None:
     """ljubljana-main, recorded i59551a: all 89 caches were called gone for 20 s, and none had gone."""
-    deployment = fleet()
+    deployment = deployment_settings()
     deployment["rules"]["draining_alone"] = alone
     policy = RoutingPolicy(deployment, 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, entries()[:-1])
@@ -196,7 +198,7 @@
 
 
 def test_list_that_removes_few_endpoints_is_believed() -> None:
-    deployment = fleet()
+    deployment = deployment_settings()
     deployment["rules"]["draining_alone"] = True
     policy = RoutingPolicy(deployment, 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, entries()[:-1])
@@ -207,7 +209,7 @@
 @pytest.mark.parametrize(("part", "aside_at_the_end"), [(5, False), (100, True)])
 def test_reset_degrades_an_endpoint_only_where_resets_are_rare(part: int, aside_at_the_end: bool) -> None:
     """ljubljana-main, answers lost at full size: each reset ejected a cache, until requests found none."""
-    policy = RoutingPolicy(fleet(proxies=40), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(proxies=40), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, entries(60)[:-1])
     for now in range(0, 6000, 10):
         name = f"c{now // 10 % 60}"
@@ -219,7 +221,7 @@
 
 def test_baselines_found_in_an_overload_do_not_raise_the_fleet_limit() -> None:
     """i2aaeb0 (tan-son-nhat): overloaded from the first second, 150 ms of 200 passed for usual all day."""
-    policy = RoutingPolicy(fleet(proxies=3), 1, 0.0)
+    policy = RoutingPolicy(deployment_settings(proxies=3), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, entries()[:-1])
     values = []
     for now in range(0, 12_000, 10):
