--- a/calicofall/testbed/checker.py
+++ b/calicofall/testbed/checker.py
@@ -301,7 +301,7 @@
                 launch_times[process_event.proxy].append(process_event.at)
         launches = sorted(at for times in launch_times.values() for at in times)
         heard: dict[str, float] = {}
-        lists: dict[tuple[str, int], float] = {}  # by proxy and life, when it was first told a list
+        lists: dict[tuple[str, int], float] = {}  # by proxy and incarnation, when it was first told a list
         for told in self.records.told:
             heard.setdefault(told.proxy, told.at)
             lists.setdefault((told.proxy, bisect_right(launch_times[told.proxy], told.at)), told.at)
--- a/calicofall/testbed/history.py
+++ b/calicofall/testbed/history.py
@@ -128,7 +128,7 @@
         told: Events of the endpoint list written to proxies.
         tries: Attempts of clients.
         answers: Ends of attempts of clients.
-        lives: Starts, signals and exits of proxies' processes.
+        process_events: Starts, signals and exits of proxies' processes.
         asked: Watches requested of the emulated discovery service.
         published: Published versions of the settings.
         attempts: Canaries.
