--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -308,8 +308,8 @@
 
     def with_high_limits(self) -> "ProxyHarness":
         """Raises the router's concurrency limits beyond what tests reach, and returns the harness."""
-        for limit in (self.proxy.router.policy.fleet, self.proxy.router.policy.origin):
-            limit.value, limit.spare = 1000.0, 2_000_000.0
+        for limit in (self.proxy.router.policy.fleet_limit, self.proxy.router.policy.origin_limit):
+            limit.value, limit.unused_capacity = 1000.0, 2_000_000.0
         return self
 
     def client(self, pause_after_bytes: int | None = None) -> FakeTransport | None:
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -146,7 +146,7 @@
             client.feed(encode_request("read", key=7))
             upstream = harness.connect_upstream()
             upstream.feed(encode_reply())
-            harness.proxy.router.policy.fleet.spare = -1e9  # no room
+            harness.proxy.router.policy.fleet_limit.unused_capacity = -1e9  # no room
             client.feed(encode_request("order", key=8, value=b"x"))
             harness.loop.advance(0.6)
             lines = [record for record in caplog.records if record.message == "rpc"]
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -139,17 +139,27 @@
     harness = ProxyHarness(caches=1)
     policy = harness.proxy.router.policy
     client, upstream = asked(harness)
-    assert policy.fleet.held == 1.0 == policy.endpoints.caches["c1"].held
+    assert policy.fleet_limit.in_flight == 1.0 == policy.endpoints.caches["c1"].in_flight
     data = encode_reply(big(300_000), b"miss")
     upstream.feed(data[:100_000])
-    assert policy.fleet.held == 0.0 == policy.endpoints.caches["c1"].held == policy.origin.held
+    assert (
+        policy.fleet_limit.in_flight
+        == 0.0
+        == policy.endpoints.caches["c1"].in_flight
+        == policy.origin_limit.in_flight
+    )
     harness.loop.advance(2.0)
     upstream.feed(data[100_000:])
     assert client.sent.endswith(b"\r\n")
     assert (
         len(policy.cached_keys.holders[0]) == 1 and policy.latency.fetches.count(harness.proxy.now_ms()) == 1
     )
-    assert policy.fleet.held == 0.0 == policy.endpoints.caches["c1"].held == policy.origin.held
+    assert (
+        policy.fleet_limit.in_flight
+        == 0.0
+        == policy.endpoints.caches["c1"].in_flight
+        == policy.origin_limit.in_flight
+    )
 
 
 def test_a_long_answer_behind_another_turn_waits_in_bounded_memory() -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -67,7 +67,7 @@
     harness.loop.advance(3.0 * (1.0 + MAX_CLOCK_DRIFT) ** 2 + 0.01)
     harness.limits.refresh_if_due()
     assert harness.quota() == pytest.approx(500.0 / 4, rel=1e-3)
-    assert harness.proxy.router.policy.slow_start.told_rate * 1000.0 * 3.0 == pytest.approx(
+    assert harness.proxy.router.policy.slow_start.assigned_rate * 1000.0 * 3.0 == pytest.approx(
         400.0 / 4, rel=1e-3
     )
 
--- a/tests/test_rate_slots.py
+++ b/tests/test_rate_slots.py
@@ -315,9 +315,9 @@
         client.feed(encode_request("read", key=5))
     harness.loop.advance(0.05)
     policy = harness.proxy.router.policy
-    assert policy.origin.turn > harness.proxy.now_ms()
+    assert policy.origin_limit.next_start_at > harness.proxy.now_ms()
     assert len([c for c in harness.proxy.active_requests.values() if c.command is not None]) <= 1
     assert harness.proxy.metrics.attempts_sent - sends <= 1
     untold = ProxyHarness()
     assert untold.proxy.router.origin_slots is None
-    assert untold.proxy.router.policy.origin.turn == 0.0
+    assert untold.proxy.router.policy.origin_limit.next_start_at == 0.0
