--- a/calicofall/cli/fleet.py
+++ b/calicofall/cli/fleet.py
@@ -73,7 +73,9 @@
 
 def show_published_first(source: str, document: SettingsDocument) -> None:
     """Says that another document was published first."""
-    click.echo(f"{source}: version {document.after} is not the latest any more: another was published first")
+    click.echo(
+        f"{source}: version {document.previous} is not the latest any more: another was published first"
+    )
 
 
 def shorten(value: object) -> str:
@@ -103,7 +105,7 @@
         sys.exit(ExitCode.DIFFERENT)
     click.echo(
         f"{file}: version {document.version} of {document.fleet}, {len(document.members)} members, "
-        f"{len(document.keepers)} keepers, D {document.bound:.2f} s, digest {document.digest}"
+        f"{len(document.voters)} keepers, D {document.supersession_bound_s:.2f} s, digest {document.digest}"
     )
 
 
--- a/calicofall/fleet/canary.py
+++ b/calicofall/fleet/canary.py
@@ -35,11 +35,11 @@
 from typing import NamedTuple
 
 MIN_REQUESTS = 20  # from which a part of requests is a measure
-LOOK = 0.75  # s between two calls of `look` at most
+OBSERVATION_INTERVAL_S = 0.75  # s between two calls of `look` at most
 BASELINE_S = 60.0  # requests that ended so long before the canary are what it is compared with
 CONFIDENCE_Z = 2.58  # standard deviations: 99%
 
-Counts = dict[str, tuple[int, int]]  # by method: requests that ended, and of them not completed
+RequestCounts = dict[str, tuple[int, int]]  # by method: requests that ended, and of them not completed
 NO_REQUESTS = (0, 0)
 
 
@@ -66,12 +66,12 @@
     """
 
     version: int
-    word: CanaryState
-    why: str
+    state: CanaryState
+    reason: str
     method: str
-    part: float
-    before: float
-    of: int
+    failed_fraction: float
+    baseline_failed_fraction: float
+    request_count: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
     increase: float
 
 
-def bounds(failed: int, of: int) -> tuple[float, float]:
+def wilson_interval(failed: int, of: int) -> tuple[float, float]:
     """Wilson's interval of a proportion, at 99%: from 0 to 1 where nothing was counted."""
     if not of:
         return 0.0, 1.0
@@ -98,7 +98,7 @@
     return middle - width, middle + width
 
 
-def _ended_between(earlier: Counts, later: Counts) -> Counts:
+def _ended_between(earlier: RequestCounts, later: RequestCounts) -> RequestCounts:
     """What ended between two counts."""
     difference = {}
     for method, (ended, failed) in later.items():
@@ -107,7 +107,7 @@
     return difference
 
 
-def _sum_counts(counts: Counts, added: Mapping[str, tuple[int, int]]) -> Counts:
+def _sum_counts(counts: RequestCounts, added: Mapping[str, tuple[int, int]]) -> RequestCounts:
     """Counts with others added, of the methods that they have."""
     total = {}
     for method, (ended, failed) in counts.items():
@@ -126,20 +126,22 @@
     """
 
     def __init__(self) -> None:
-        self.seen: deque[tuple[float, Counts]] = deque()
-        self.told: CanaryReport | None = None
-        self.before: Counts = {}
+        self.count_history: deque[tuple[float, RequestCounts]] = deque()
+        self.report: CanaryReport | None = None
+        self.baseline: RequestCounts = {}
         self._started_at = 0.0
         self._ends_at = 0.0
         self._tolerated_increase = 0.0
-        self._counts_at_start: Counts = {}
+        self._counts_at_start: RequestCounts = {}
 
     @property
-    def trying(self) -> bool:
+    def is_trying(self) -> bool:
         """Whether a version is tried now."""
-        return self.told is not None and self.told.word == CanaryState.TRYING
+        return self.report is not None and self.report.state == CanaryState.TRYING
 
-    def begin(self, now: float, version: int, duration: float, increase: float, counts: Counts) -> None:
+    def begin(
+        self, now: float, version: int, duration: float, increase: float, counts: RequestCounts
+    ) -> None:
         """Starts a canary.
 
         Args:
@@ -149,74 +151,74 @@
             increase: by how much the part of requests that are not completed may grow.
             counts: what has ended since the process began.
         """
-        self.look(now, counts)
+        self.observe(now, counts)
         self._counts_at_start = counts
         self._started_at = now
         self._ends_at = now + duration
         self._tolerated_increase = increase
-        self.before = _ended_between(self.seen[0][1], counts)
-        self.told = CanaryReport(version, CanaryState.TRYING, "", "", 0.0, 0.0, 0)
+        self.baseline = _ended_between(self.count_history[0][1], counts)
+        self.report = CanaryReport(version, CanaryState.TRYING, "", "", 0.0, 0.0, 0)
 
-    def cut(self, reason: str) -> bool:
+    def abort(self, reason: str) -> bool:
         """Ends the canary without a measure; False if there is none."""
-        if self.told is None or not self.trying:
+        if self.report is None or not self.is_trying:
             return False
-        self._end(self.told._replace(word=CanaryState.UNMEASURED, why=reason))
+        self._end(self.report._replace(state=CanaryState.UNMEASURED, reason=reason))
         return True
 
-    def look(self, now: float, counts: Counts) -> bool:
+    def observe(self, now: float, counts: RequestCounts) -> bool:
         """Takes what has ended since the process began; whether the canary is over by it."""
-        self.seen.append((now, counts))
-        while self.seen[0][0] < now - BASELINE_S:
-            self.seen.popleft()
-        if self.told is None or not self.trying:
+        self.count_history.append((now, counts))
+        while self.count_history[0][0] < now - BASELINE_S:
+            self.count_history.popleft()
+        if self.report is None or not self.is_trying:
             return False
-        report = self._measure(now, self.told.version, _ended_between(self._counts_at_start, counts))
-        if report.word == CanaryState.TRYING:
-            self.told = report
+        report = self._measure(now, self.report.version, _ended_between(self._counts_at_start, counts))
+        if report.state == CanaryState.TRYING:
+            self.report = report
             return False
         self._end(report)
         return True
 
-    def _measure(self, now: float, version: int, during: Counts) -> CanaryReport:
+    def _measure(self, now: float, version: int, during: RequestCounts) -> CanaryReport:
         """What is said of the canary by what has ended during it."""
         worst = self._worst_method(during)
         state = CanaryState.TRYING
-        why = ""
+        reason = ""
         if worst.name and worst.increase > self._tolerated_increase:
             state = CanaryState.FAILING
         elif now >= self._ends_at:
-            why = self._reason_unmeasured(during, worst)
-            state = CanaryState.UNMEASURED if why else CanaryState.WELL
+            reason = self._reason_unmeasured(during, worst)
+            state = CanaryState.UNMEASURED if reason else CanaryState.WELL
         ended, failed = during.get(worst.name, NO_REQUESTS)
-        ended_before, failed_before = self.before.get(worst.name, NO_REQUESTS)
+        ended_before, failed_before = self.baseline.get(worst.name, NO_REQUESTS)
         return CanaryReport(
             version=version,
-            word=state,
-            why=why,
+            state=state,
+            reason=reason,
             method=worst.name,
-            part=failed / max(1, ended),
-            before=failed_before / max(1, ended_before),
-            of=ended,
+            failed_fraction=failed / max(1, ended),
+            baseline_failed_fraction=failed_before / max(1, ended_before),
+            request_count=ended,
         )
 
-    def _worst_method(self, during: Counts) -> WorstMethod:
+    def _worst_method(self, during: RequestCounts) -> WorstMethod:
         worst = WorstMethod("", -1.0)
         for method, (ended, failed) in during.items():
-            ended_before, failed_before = self.before.get(method, NO_REQUESTS)
-            increase = bounds(failed, ended)[0] - bounds(failed_before, ended_before)[1]
+            ended_before, failed_before = self.baseline.get(method, NO_REQUESTS)
+            increase = wilson_interval(failed, ended)[0] - wilson_interval(failed_before, ended_before)[1]
             if ended >= MIN_REQUESTS and increase > worst.increase:
                 worst = WorstMethod(method, increase)
         return worst
 
-    def _reason_unmeasured(self, during: Counts, worst: WorstMethod) -> str:
+    def _reason_unmeasured(self, during: RequestCounts, worst: WorstMethod) -> str:
         """Why there were too few requests; empty if there were enough."""
-        for method, (ended_before, _) in self.before.items():
+        for method, (ended_before, _) in self.baseline.items():
             if ended_before >= MIN_REQUESTS and during.get(method, NO_REQUESTS)[0] < MIN_REQUESTS:
                 return f"under {MIN_REQUESTS} RPCs of {method}"
         if not worst.name:
             return f"under {MIN_REQUESTS} RPCs"
-        if self.before.get(worst.name, NO_REQUESTS)[0] < MIN_REQUESTS:
+        if self.baseline.get(worst.name, NO_REQUESTS)[0] < MIN_REQUESTS:
             return f"under {MIN_REQUESTS} RPCs before"
         return ""
 
@@ -226,8 +228,10 @@
         Without this, a sound version that follows a failing one would be compared with the failures of the
         other, and pass however bad it was.
         """
-        self.told = report
-        last = self.seen[-1]
+        self.report = report
+        last = self.count_history[-1]
         during = _ended_between(self._counts_at_start, last[1])
-        baseline = [(at, _sum_counts(counts, during)) for at, counts in self.seen if at <= self._started_at]
-        self.seen = deque([*baseline, last])
+        baseline = [
+            (at, _sum_counts(counts, during)) for at, counts in self.count_history if at <= self._started_at
+        ]
+        self.count_history = deque([*baseline, last])
--- a/calicofall/fleet/configuration_agreement.py
+++ b/calicofall/fleet/configuration_agreement.py
@@ -102,24 +102,24 @@
     """A request for a peer's versions, or the response; sent as a row of these fields, in this order.
 
     Attributes:
-        asks: whether it is a request.
+        is_request: whether it is a request.
         sender: number of the proxy that sends it.
         life: the sender's incarnation.
-        mark: identifier of the request.
-        known: the highest version that the sender knows of.
-        held: the highest version that the sender holds.
-        effect: the version in effect at the sender; 0 while it is not confirmed there.
-        ready: whether the sender grants leases.
+        correlation_id: identifier of the request.
+        highest_known: the highest version that the sender knows of.
+        highest_held: the highest version that the sender holds.
+        effective_version: the version in effect at the sender; 0 while it is not confirmed there.
+        grants_leases: whether the sender grants leases.
     """
 
-    asks: bool
+    is_request: bool
     sender: int
     life: int
-    mark: int
-    known: int
-    held: int
-    effect: int
-    ready: bool
+    correlation_id: int
+    highest_known: int
+    highest_held: int
+    effective_version: int
+    grants_leases: bool
 
 
 class LeaseStatus(NamedTuple):
@@ -159,12 +159,12 @@
     def update(self, now: float, requested_at: float, message: AgreementMessage) -> None:
         """Takes a response to a request that was sent at `requested_at`."""
         self.requested_at = requested_at
-        self.highest_known = message.known
-        self.highest_held = message.held
-        self.in_effect = message.effect
-        self.grants_leases = message.ready
-        if message.held:
-            self.first_held_at.setdefault(message.held, now)
+        self.highest_known = message.highest_known
+        self.highest_held = message.highest_held
+        self.in_effect = message.effective_version
+        self.grants_leases = message.grants_leases
+        if message.highest_held:
+            self.first_held_at.setdefault(message.highest_held, now)
 
     def held_since(self, version: int) -> float:
         """When it was first heard to hold this version or a higher one (s); it has to hold one."""
@@ -201,27 +201,27 @@
     """
 
     def __init__(
-        self, member: int, incarnation: int, now: float, lease: float, drift: float, rng: Random
+        self, own_id: int, incarnation: int, now: float, lease: float, drift: float, rng: Random
     ) -> None:
         """Begins an incarnation that knows of no version.
 
         Args:
-            member: number of this proxy.
+            own_id: number of this proxy.
             incarnation: number of this run of the process, unlike those of other runs.
             now: the time (s).
             lease: duration of a lease (s).
             drift: part by which two clocks may differ in the length of a span.
             rng: source of request identifiers, jitter and the choice of voters.
         """
-        self.member = member
+        self.own_id = own_id
         self.incarnation = incarnation
         self.lease_s = lease
         self.rng = rng
         self.grant_duration_s = grant_duration(lease, drift)
         self.grants_from = now + self.grant_duration_s
-        self.known = 0
-        self.effect = 0
-        self.proved = False
+        self.highest_known = 0
+        self.effective_version = 0
+        self.confirmed = False
         self.held_versions: dict[int, ConfigurationVersion] = {}
         self.held_since: dict[int, float] = {}  # by version held
         self.peers: dict[int, PeerAcknowledgement] = {}
@@ -233,29 +233,29 @@
 
     # Events
 
-    def heard(self, now: float, document: ConfigurationVersion) -> bool:
+    def on_document(self, now: float, document: ConfigurationVersion) -> bool:
         """Takes a document from the source; whether it is new."""
-        self.known = max(self.known, document.version)
-        if document.version <= max(self.effect, self.highest_held):
+        self.highest_known = max(self.highest_known, document.version)
+        if document.version <= max(self.effective_version, self.highest_held):
             return False
         self.held_versions[document.version] = document
         self.held_since[document.version] = now
         self.next_round_at = now  # peers are told at once
         return True
 
-    def asked(self, now: float, message: AgreementMessage) -> AgreementMessage:
+    def on_request(self, now: float, message: AgreementMessage) -> AgreementMessage:
         """Takes a peer's request, and returns the response."""
         self._learn_version(message)
-        return self._message(False, message.mark, now)
+        return self._message(False, message.correlation_id, now)
 
-    def answered(self, now: float, message: AgreementMessage) -> bool:
+    def on_response(self, now: float, message: AgreementMessage) -> bool:
         """Takes a peer's response.
 
         Returns:
             False if it belongs to no request of this incarnation, or to one before the last that counted.
         """
-        requested_at = self.requested_at.get(message.mark)
-        if requested_at is None or message.sender == self.member:
+        requested_at = self.requested_at.get(message.correlation_id)
+        if requested_at is None or message.sender == self.own_id:
             return False
         self._require_confirmation_after_gap(now)
         self._learn_version(message)
@@ -283,7 +283,7 @@
         if now < self.next_round_at:
             return [], self.next_round_at
         self._advance(now)
-        pending = bool(self.held_versions) and self.highest_held > self.effect
+        pending = bool(self.held_versions) and self.highest_held > self.effective_version
         members = _union(document.members for document in self.held_versions.values())
         rounds = LARGE_FLEET_ROUNDS if len(members) > LARGE_FLEET_MEMBERS else SMALL_FLEET_ROUNDS
         interval = self.lease_s / ROUNDS_PER_LEASE
@@ -291,10 +291,10 @@
             interval = min(interval, rounds.interval_s)
         self.next_round_at = now + interval * self.rng.uniform(ROUND_JITTER, 1.0)
         self._begin_request(now)
-        receivers = _union(document.voters for document in self.held_versions.values()) - {self.member}
+        receivers = _union(document.voters for document in self.held_versions.values()) - {self.own_id}
         if pending:
-            receivers |= self._next_batch(members - {self.member} - receivers, rounds.batch_size)
-        elif self.proved and self.leased_until(now) > now + self.lease_s / 2.0:
+            receivers |= self._next_batch(members - {self.own_id} - receivers, rounds.batch_size)
+        elif self.confirmed and self.leased_until(now) > now + self.lease_s / 2.0:
             receivers = self._sufficient_voters()
         message = self._message(True, self.request_id, now)
         return [(member, message) for member in sorted(receivers)], self.next_round_at
@@ -316,45 +316,48 @@
         This proxy is among the granters if it is a voter.
         """
         highest_held = self.highest_held
-        if self.known > highest_held or not self.held_versions:
+        if self.highest_known > highest_held or not self.held_versions:
             return -inf
         return min(
             self._granted_until(now, document, highest_held) for document in self.held_versions.values()
         )
 
-    def standing(self, now: float) -> LeaseStatus:
+    def lease_status(self, now: float) -> LeaseStatus:
         """What may be acted on now; to be called again right before each send.
 
         The process may have been stopped since the last call, for longer than the lease.
         """
         # Others may act on a version between two that are held here, if it was missed.
         complete = all(
-            version == self.effect or document.previous in self.held_versions
+            version == self.effective_version or document.previous in self.held_versions
             for version, document in self.held_versions.items()
         )
         leased = (
-            self.proved and self.effect in self.held_versions and complete and now < self.leased_until(now)
+            self.confirmed
+            and self.effective_version in self.held_versions
+            and complete
+            and now < self.leased_until(now)
         )
         return LeaseStatus(tuple(sorted(self.held_versions)), leased)
 
     # Messages
 
     def _message(self, is_request: bool, request_id: int, now: float) -> AgreementMessage:
-        confirmed = self.proved and now < self.leased_until(now)
+        confirmed = self.confirmed and now < self.leased_until(now)
         return AgreementMessage(
             is_request,
-            self.member,
+            self.own_id,
             self.incarnation,
             request_id,
-            self.known,
+            self.highest_known,
             self.highest_held,
-            self.effect if confirmed else 0,
+            self.effective_version if confirmed else 0,
             self.grants_leases(now),
         )
 
     def _learn_version(self, message: AgreementMessage) -> None:
         """Learns that a version exists: all that may be taken from a message that may be a replayed one."""
-        self.known = max(self.known, message.known)
+        self.highest_known = max(self.highest_known, message.highest_known)
 
     def _begin_request(self, now: float) -> None:
         """Numbers a round's request, and forgets those whose responses would grant nothing any more."""
@@ -385,7 +388,7 @@
 
         sufficient: set[int] = set()
         for document in self.held_versions.values():
-            voters = sorted(document.voters - {self.member})
+            voters = sorted(document.voters - {self.own_id})
             self.rng.shuffle(voters)  # without this, all members would ask the same voters
             voters.sort(key=requested_at, reverse=True)
             sufficient.update(voters[: majority(document.voters) + SPARE_VOTERS])
@@ -398,12 +401,12 @@
         granted_at = [
             peer.requested_at
             for voter in document.voters
-            if voter != self.member
+            if voter != self.own_id
             and (peer := self.peers.get(voter))
             and peer.grants_leases
             and peer.highest_known <= highest_held
         ]
-        if self.member in document.voters and self.grants_leases(now):
+        if self.own_id in document.voters and self.grants_leases(now):
             granted_at.append(now)
         quorum = majority(document.voters)
         if len(granted_at) < quorum:
@@ -416,7 +419,7 @@
 
         Those that would renew the lease may have restarted, forgotten the version, and granted another one.
         """
-        self.proved = self.proved and now < self.leased_until(now)
+        self.confirmed = self.confirmed and now < self.leased_until(now)
 
     # Versions that come into effect
 
@@ -425,15 +428,17 @@
         if now >= self.leased_until(now):
             return
         highest = self.highest_held
-        if highest > self.effect and self._may_take_effect(now, highest):
-            self.effect = highest
-            self.proved = True
+        if highest > self.effective_version and self._may_take_effect(now, highest):
+            self.effective_version = highest
+            self.confirmed = True
             self.held_versions = {highest: self.held_versions[highest]}
             self.held_since = {highest: self.held_since[highest]}
         elif (
-            not self.proved and self.effect in self.held_versions and self._may_take_effect(now, self.effect)
+            not self.confirmed
+            and self.effective_version in self.held_versions
+            and self._may_take_effect(now, self.effective_version)
         ):
-            self.proved = True
+            self.confirmed = True
 
     def _may_take_effect(self, now: float, version: int) -> bool:
         """Whether nobody can act on a version that contradicts this one or a higher one (E1, E2 or E3)."""
@@ -447,7 +452,7 @@
         """E1: a quorum of voters say that the version is in effect at them."""
 
         def in_effect(voter: int) -> bool:
-            peer = None if voter == self.member else self._current_acknowledgement(now, voter, version)
+            peer = None if voter == self.own_id else self._current_acknowledgement(now, voter, version)
             return peer is not None and peer.in_effect >= version
 
         return self._is_quorum(in_effect)
@@ -468,7 +473,7 @@
             ]
             for document in self.held_versions.values()
         )
-        others = _union(document.members for document in self.held_versions.values()) - {self.member}
+        others = _union(document.members for document in self.held_versions.values()) - {self.own_id}
         return all(
             (peer := self._current_acknowledgement(now, member, version)) is not None
             and peer.requested_at > held_by_quorum_at
@@ -484,7 +489,7 @@
 
     def _held_since(self, now: float, voter: int, version: int) -> float:
         """When a voter was first heard to hold the version (s); inf if it does not say so now."""
-        if voter == self.member:
+        if voter == self.own_id:
             return self.held_since[version]
         peer = self._current_acknowledgement(now, voter, version)
         return inf if peer is None else peer.held_since(version)
--- a/calicofall/fleet/hot_keys.py
+++ b/calicofall/fleet/hot_keys.py
@@ -50,7 +50,7 @@
     is_query: bool
     sender: int
     incarnation: int
-    mark: int
+    correlation_id: int
     key: int
     requests: int
     counted_ms: int
@@ -81,13 +81,13 @@
     def __init__(self, key: int, ends_at: float, asked: list[int]) -> None:
         self.key = key
         self.ends_at = ends_at
-        self.asked = asked
+        self.queried_peers = asked
         self.awaited = set(asked)
         self.replies: dict[int, KeyCount] = {}
 
     def counts(self) -> list[KeyCount]:
         """The answers in the order in which members were asked, so that a late one doesn't change the sum."""
-        return [self.replies[member] for member in self.asked if member in self.replies]
+        return [self.replies[member] for member in self.queried_peers if member in self.replies]
 
 
 class HotKeyDetector:
@@ -115,16 +115,16 @@
         self.windows_begun_at = [now, now]
         self.last_queried_at: dict[int, float] = {}  # by key
         self.queries: dict[int, KeyQuery] = {}  # by number
-        self.keys: dict[int, HotKey] = {}
-        self.fresh: list[int] = []  # keys that were found hot since the last call of `news`
+        self.hot_keys: dict[int, HotKey] = {}
+        self.new_findings: list[int] = []  # keys that were found hot since the last call of `news`
         self.last_query_id = rng.getrandbits(40)
         self.next_round_at = now
-        self.asked = 0  # messages sent for queries
-        self.found = 0  # findings that `news` has returned
+        self.query_messages_sent = 0  # messages sent for queries
+        self.findings_reported = 0  # findings that `news` has returned
 
     # Counts
 
-    def saw(self, now: float, key: int) -> None:
+    def record_request(self, now: float, key: int) -> None:
         """A request for a key has come."""
         if now >= self.windows_begun_at[0] + COUNTING_WINDOW_S:
             self.counts = [{}, self.counts[0]]
@@ -145,18 +145,18 @@
 
     # Messages
 
-    def _message(self, now: float, is_query: bool, mark: int, key: int) -> KeyCountMessage:
+    def _message(self, now: float, is_query: bool, correlation_id: int, key: int) -> KeyCountMessage:
         """A query or an answer, with our own count."""
         own = self._own_count(now, key)
         return KeyCountMessage(
-            is_query, self.own_id, self.incarnation, mark, key, own.requests, own.counted_ms
+            is_query, self.own_id, self.incarnation, correlation_id, key, own.requests, own.counted_ms
         )
 
-    def heard(self, now: float, message: KeyCountMessage) -> KeyCountMessage | None:
+    def on_message(self, now: float, message: KeyCountMessage) -> KeyCountMessage | None:
         """Takes a message; returns the answer to its sender, if any."""
         if message.is_query:
-            return self._message(now, False, message.mark, message.key)
-        query = self.queries.get(message.mark)
+            return self._message(now, False, message.correlation_id, message.key)
+        query = self.queries.get(message.correlation_id)
         if query is not None and query.key == message.key and message.sender in query.awaited:
             query.awaited.discard(message.sender)
             query.replies[message.sender] = KeyCount(message.requests, message.counted_ms)
@@ -173,7 +173,7 @@
             if now >= query.ends_at or not query.awaited:
                 del self.queries[query_id]
                 self._decide(now, query.key, query.counts())
-        self.keys = {key: found for key, found in self.keys.items() if found.expires_at > now}
+        self.hot_keys = {key: found for key, found in self.hot_keys.items() if found.expires_at > now}
         out: list[tuple[int, KeyCountMessage]] = []
         if now >= self.next_round_at:
             self.next_round_at = now + ROUND_INTERVAL_S * self.rng.uniform(0.9, 1.0)
@@ -189,7 +189,7 @@
         self.last_query_id += 1
         self.last_queried_at[key] = now
         self.queries[self.last_query_id] = KeyQuery(key, now + ANSWER_TIMEOUT_S, peers)
-        self.asked += len(peers)
+        self.query_messages_sent += len(peers)
         message = self._message(now, True, self.last_query_id, key)
         return [(peer, message) for peer in peers]
 
@@ -213,13 +213,13 @@
         rate_per_s = 1000.0 * self.proxies * sum(reply.per_ms for reply in answers) / len(answers)
         if seen < MIN_SEEN_REQUESTS or rate_per_s <= HOT_FRACTION * self.endpoint_capacity_per_s:
             return
-        if key not in self.keys:
-            self.fresh.append(key)
-        self.keys[key] = HotKey(now + HOT_LIFETIME_S, rate_per_s)
+        if key not in self.hot_keys:
+            self.new_findings.append(key)
+        self.hot_keys[key] = HotKey(now + HOT_LIFETIME_S, rate_per_s)
 
-    def news(self) -> list[tuple[int, float]]:
+    def take_new_findings(self) -> list[tuple[int, float]]:
         """The keys found hot since the last call and still so, with requests a second over the fleet."""
-        found = self.fresh
-        self.fresh = []
-        self.found += len(found)
-        return [(key, self.keys[key].requests_per_s) for key in found if key in self.keys]
+        found = self.new_findings
+        self.new_findings = []
+        self.findings_reported += len(found)
+        return [(key, self.hot_keys[key].requests_per_s) for key in found if key in self.hot_keys]
--- a/calicofall/fleet/in_flight_quota.py
+++ b/calicofall/fleet/in_flight_quota.py
@@ -22,10 +22,10 @@
 class EndpointUsage:
     """Requests of this proxy at one endpoint; moments in seconds."""
 
-    __slots__ = ("out", "credit_s", "mean_in_flight", "updated_at", "refused_at")
+    __slots__ = ("in_flight", "credit_s", "mean_in_flight", "updated_at", "refused_at")
 
     def __init__(self, now: float, credit_s: float) -> None:
-        self.out = 0  # in flight
+        self.in_flight = 0  # in flight
         self.credit_s = credit_s  # for how long a request may be in flight
         self.mean_in_flight = 0.0
         self.updated_at = now
@@ -35,34 +35,40 @@
 class InFlightQuota:
     """Requests in flight by endpoint; `part` of them are allowed at each."""
 
-    def __init__(self, part: float, rng: Random) -> None:
-        self.part = part
+    def __init__(self, share: float, rng: Random) -> None:
+        self.share = share
         self.rng = rng
-        self.caches: dict[str, EndpointUsage] = {}
+        self.endpoints: dict[str, EndpointUsage] = {}
 
-    def keep(self, names: set[str]) -> None:
+    def retain_endpoints(self, names: set[str]) -> None:
         """Forgets endpoints that aren't among these and have nothing in flight."""
-        self.caches = {name: usage for name, usage in self.caches.items() if name in names or usage.out}
+        self.endpoints = {
+            name: usage for name, usage in self.endpoints.items() if name in names or usage.in_flight
+        }
 
     def _usage(self, now: float, name: str) -> EndpointUsage:
         """The usage of an endpoint, brought up to date."""
-        usage = self.caches.get(name)
+        usage = self.endpoints.get(name)
         if usage is None:
             # A random credit: without it all proxies would save up their first request at the same time.
-            usage = EndpointUsage(now, self.part * MAX_CREDIT_S * self.rng.random())
-            self.caches[name] = usage
+            usage = EndpointUsage(now, self.share * MAX_CREDIT_S * self.rng.random())
+            self.endpoints[name] = usage
         elapsed_s = max(0.0, now - usage.updated_at)
-        usage.credit_s = min(self.part * MAX_CREDIT_S, usage.credit_s + (self.part - usage.out) * elapsed_s)
+        usage.credit_s = min(
+            self.share * MAX_CREDIT_S, usage.credit_s + (self.share - usage.in_flight) * elapsed_s
+        )
         decay = exp(-elapsed_s / DEMAND_WINDOW_S)
-        usage.mean_in_flight = usage.out + (usage.mean_in_flight - usage.out) * decay
+        usage.mean_in_flight = usage.in_flight + (usage.mean_in_flight - usage.in_flight) * decay
         usage.updated_at = now
         return usage
 
-    def begin(self, now: float, name: str) -> bool:
+    def try_begin(self, now: float, name: str) -> bool:
         """Whether a request may be sent to this endpoint now; if so, it counts as in flight."""
         usage = self._usage(now, name)
-        if usage.out + 1 <= self.part or (self.part < 1.0 and not usage.out and usage.credit_s > 0.0):
-            usage.out += 1
+        if usage.in_flight + 1 <= self.share or (
+            self.share < 1.0 and not usage.in_flight and usage.credit_s > 0.0
+        ):
+            usage.in_flight += 1
             return True
         usage.refused_at = now
         return False
@@ -70,22 +76,22 @@
     def end(self, now: float, name: str) -> None:
         """A request is no longer in flight."""
         usage = self._usage(now, name)
-        assert usage.out > 0, "what ends has begun"
-        usage.out -= 1
+        assert usage.in_flight > 0, "what ends has begun"
+        usage.in_flight -= 1
 
-    def wanted(self, now: float) -> float:
+    def demand(self, now: float) -> float:
         """Requests that would be in flight at the busiest endpoint without a limit.
 
         Where some were refused lately this is an estimate: over twice as many as there are.
         """
-        usages = [self._usage(now, name) for name in self.caches]
-        return max((self._demand(now, usage) for usage in usages), default=0.0)
+        usages = [self._usage(now, name) for name in self.endpoints]
+        return max((self._endpoint_demand(now, usage) for usage in usages), default=0.0)
 
-    def _demand(self, now: float, usage: EndpointUsage) -> float:
+    def _endpoint_demand(self, now: float, usage: EndpointUsage) -> float:
         if now - usage.refused_at < DEMAND_WINDOW_S:
-            return 2.0 * usage.mean_in_flight + self.part
+            return 2.0 * usage.mean_in_flight + self.share
         return usage.mean_in_flight
 
-    def most(self) -> int:
+    def max_in_flight(self) -> int:
         """Requests in flight at the busiest endpoint now."""
-        return max((usage.out for usage in self.caches.values()), default=0)
+        return max((usage.in_flight for usage in self.endpoints.values()), default=0)
--- a/calicofall/fleet/large_answers.py
+++ b/calicofall/fleet/large_answers.py
@@ -24,9 +24,9 @@
         self.ms_per_byte = SlidingWindow(WINDOW_MS, WINDOW_BUCKETS)  # of large answers
         self.answers = SlidingWindow(WINDOW_MS, WINDOW_BUCKETS)  # of any size
         self.baseline_ms_per_byte: float | None = None
-        self.keys: dict[int, bool] = {}  # whether a key's last answer was large; the latest key last
+        self.large_by_key: dict[int, bool] = {}  # whether a key's last answer was large; the latest key last
 
-    def saw(self, now: float, key: int | None, took_ms: float, size_bytes: int) -> bool | None:
+    def record_answer(self, now: float, key: int | None, took_ms: float, size_bytes: int) -> bool | None:
         """Records an answer; returns whether a large one was fast enough.
 
         This is judged by the shortest usual time of all endpoints. None: the answer isn't large, or there is
@@ -45,14 +45,14 @@
         return took_ms <= SLOW_FACTOR * baseline * size_bytes if baseline else None
 
     def _remember_key(self, key: int, is_large: bool) -> None:
-        self.keys.pop(key, None)
-        self.keys[key] = is_large
-        if len(self.keys) > MAX_KNOWN_KEYS:
-            del self.keys[next(iter(self.keys))]
+        self.large_by_key.pop(key, None)
+        self.large_by_key[key] = is_large
+        if len(self.large_by_key) > MAX_KNOWN_KEYS:
+            del self.large_by_key[next(iter(self.large_by_key))]
 
-    def part(self, now: float, key: int | None) -> float:
+    def large_probability(self, now: float, key: int | None) -> float:
         """How likely an answer that didn't come for a key would have been large."""
-        if key in self.keys:
-            return float(self.keys[key])
+        if key in self.large_by_key:
+            return float(self.large_by_key[key])
         now_ms = now * 1000.0
         return self.ms_per_byte.count(now_ms) / max(1.0, self.answers.count(now_ms))
--- a/calicofall/fleet/list_freshness.py
+++ b/calicofall/fleet/list_freshness.py
@@ -24,7 +24,7 @@
 from random import Random
 from typing import NamedTuple
 
-GAP = 0.5  # s between two rounds
+ROUND_INTERVAL_S = 0.5  # s between two rounds
 PEERS_PER_ROUND = 2
 POLL_DELAY_S = 0.3  # for which a later list is known of before the service is polled
 REPOLL_AFTER_S = 2.0  # between two polls that peers' messages cause
@@ -48,13 +48,13 @@
         age: time since the list changed (ms).
     """
 
-    asks: bool
+    is_request: bool
     sender: int
     life: int
-    mark: int
+    correlation_id: int
     index: int  # type: ignore[assignment]  # hides tuple.index, which nobody calls
     digest: int
-    age: int
+    age_ms: int
 
 
 class DifferingPeer(NamedTuple):
@@ -68,10 +68,10 @@
 
     peer: int
     message: ListDigestMessage
-    duration: float
+    duration_s: float
 
 
-def digest(states: dict[str, str]) -> int:
+def list_digest(states: dict[str, str]) -> int:
     """Digest of the endpoints' names and states, whatever their order: 48 bits."""
     body = "\n".join(f"{name} {states[name]}" for name in sorted(states))
     return int.from_bytes(blake2b(body.encode(), digest_size=DIGEST_BYTES).digest())
@@ -88,40 +88,42 @@
         differs_since: by peer, since when its digest has differed (s).
     """
 
-    def __init__(self, me: int, incarnation: int, proxies: int, rng: Random) -> None:
+    def __init__(self, own_id: int, incarnation: int, proxies: int, rng: Random) -> None:
         """Begins without a list.
 
         Args:
-            me: number of this proxy.
+            own_id: number of this proxy.
             incarnation: number of this run of its process.
             proxies: how many proxies the fleet has.
             rng: source of request identifiers and of the choice of peers.
         """
-        self.me = me
+        self.own_id = own_id
         self.incarnation = incarnation
         self.proxies = proxies
         self.rng = rng
         self.index = 0
         self.digest = 0
-        self.at = 0.0
-        self.heard: dict[int, tuple[float, ListDigestMessage]] = {}
+        self.changed_at = 0.0
+        self.last_messages: dict[int, tuple[float, ListDigestMessage]] = {}
         self.differs_since: dict[int, float] = {}
         self._request_id = rng.getrandbits(REQUEST_ID_BITS)
         self._polled_at = -REPOLL_AFTER_S
         self._behind_since: float | None = None  # since when a later list is known of (s)
         self._difference_reported = False
 
-    def own(self, now: float, index: int | None, states: dict[str, str]) -> None:
+    def set_own_list(self, now: float, index: int | None, states: dict[str, str]) -> None:
         """Takes the list that the service has sent, or has said to be unchanged."""
-        found = digest(states)
+        found = list_digest(states)
         if found != self.digest:
-            self.at = now
+            self.changed_at = now
             self.differs_since.clear()
         self._behind_since = None
         self.index = index or 0
         self.digest = found
 
-    def tell(self, now: float, away: frozenset[int] = frozenset()) -> tuple[list[int], ListDigestMessage]:
+    def begin_round(
+        self, now: float, away: frozenset[int] = frozenset()
+    ) -> tuple[list[int], ListDigestMessage]:
         """Begins a round.
 
         Args:
@@ -132,12 +134,12 @@
             The peers to send a request to, and the request.
         """
         self._request_id += 1
-        reachable = [peer for peer in range(self.proxies) if peer != self.me and peer not in away]
+        reachable = [peer for peer in range(self.proxies) if peer != self.own_id and peer not in away]
         self._forget_silent_peers(now)
         receivers = self.rng.sample(reachable, min(PEERS_PER_ROUND, len(reachable)))
-        return receivers, self.word(now, True, self._request_id)
+        return receivers, self.make_message(now, True, self._request_id)
 
-    def word(self, now: float, is_request: bool, request_id: int) -> ListDigestMessage:
+    def make_message(self, now: float, is_request: bool, request_id: int) -> ListDigestMessage:
         """What is said of the own list.
 
         Args:
@@ -145,17 +147,17 @@
             is_request: whether it is a request.
             request_id: identifier of the request.
         """
-        age_ms = min(MAX_AGE_MS, max(0, round((now - self.at) * 1000.0)))
+        age_ms = min(MAX_AGE_MS, max(0, round((now - self.changed_at) * 1000.0)))
         return ListDigestMessage(
-            is_request, self.me, self.incarnation, request_id, self.index, self.digest, age_ms
+            is_request, self.own_id, self.incarnation, request_id, self.index, self.digest, age_ms
         )
 
-    def told(self, now: float, message: ListDigestMessage) -> None:
+    def on_message(self, now: float, message: ListDigestMessage) -> None:
         """Takes a peer's request or response."""
         peer = message.sender
-        if peer == self.me:
+        if peer == self.own_id:
             return
-        self.heard[peer] = now, message
+        self.last_messages[peer] = now, message
         if message.digest == self.digest:
             self.differs_since.pop(peer, None)
             return
@@ -163,7 +165,7 @@
         if message.index > self.index and self._behind_since is None:
             self._behind_since = now
 
-    def behind(self, now: float) -> float | None:
+    def claim_poll(self, now: float) -> float | None:
         """Whether the service is to be polled again now; a call that says so counts as a poll.
 
         Returns:
@@ -174,26 +176,28 @@
         if now < max(self._behind_since + POLL_DELAY_S, self._polled_at + REPOLL_AFTER_S):
             return None
         self._polled_at = now
-        recent = [message for at, message in self.heard.values() if at >= now - DIFFERENCE_REPORTED_AFTER_S]
+        recent = [
+            message for at, message in self.last_messages.values() if at >= now - DIFFERENCE_REPORTED_AFTER_S
+        ]
         return sum(message.index <= self.index for message in recent) / max(1, len(recent))
 
-    def differing(self, now: float) -> list[DifferingPeer]:
+    def differing_peers(self, now: float) -> list[DifferingPeer]:
         """Peers whose lists differ, and have done so between messages `DIFFERENCE_REPORTED_AFTER_S` apart."""
         return [
-            DifferingPeer(peer, self.heard[peer][1], now - since)
+            DifferingPeer(peer, self.last_messages[peer][1], now - since)
             for peer, since in sorted(self.differs_since.items())
-            if self.heard[peer][0] - since >= DIFFERENCE_REPORTED_AFTER_S
+            if self.last_messages[peer][0] - since >= DIFFERENCE_REPORTED_AFTER_S
         ]
 
-    def news(self, now: float) -> bool:
+    def claim_difference_report(self, now: float) -> bool:
         """Whether it is to be reported now that lists differ: once until they agree again."""
-        differ = bool(self.differing(now))
+        differ = bool(self.differing_peers(now))
         report = differ and not self._difference_reported
         self._difference_reported = differ
         return report
 
     def _forget_silent_peers(self, now: float) -> None:
-        silent = [peer for peer, (at, _) in self.heard.items() if at < now - PEER_FORGOTTEN_AFTER_S]
+        silent = [peer for peer, (at, _) in self.last_messages.items() if at < now - PEER_FORGOTTEN_AFTER_S]
         for peer in silent:
-            del self.heard[peer]
+            del self.last_messages[peer]
             self.differs_since.pop(peer, None)
--- a/calicofall/fleet/membership.py
+++ b/calicofall/fleet/membership.py
@@ -89,10 +89,10 @@
     kind: int
     sender: int
     incarnation: int
-    mark: int
+    correlation_id: int
     subject: int
     subject_incarnation: int
-    rumours: tuple[int, ...]
+    suspicions: tuple[int, ...]
 
 
 class Suspicion(NamedTuple):
@@ -114,7 +114,7 @@
     """For which member a probe was sent on, and the number that this member gave its request."""
 
     requester: int
-    request_mark: int
+    request_correlation_id: int
 
 
 class PeerState:
@@ -194,14 +194,16 @@
         self.own_id = own_id
         self.incarnation = incarnation
         self.rng = rng
-        self.met: dict[int, PeerState] = {}
+        self.peers: dict[int, PeerState] = {}
         self.probe_order: list[int] = []
         self.last_probe_id = rng.getrandbits(40)
-        self.marks: dict[int, OutstandingProbe] = {}
+        self.outstanding_probes: dict[int, OutstandingProbe] = {}
         self.unanswered: dict[int, int] = {}  # probes of this round: the member by the probe's number
         self.relayed_probes: dict[int, RelayedProbe] = {}  # by the number of our own probe
         self.probe_queue: dict[int, None] = {}  # whom to probe beside the order, the longest waiting first
-        self.tales: dict[tuple[int, int, int], int] = {}  # how often each suspicion is still to be sent
+        self.queued_suspicions: dict[
+            tuple[int, int, int], int
+        ] = {}  # how often each suspicion is still to be sent
         self.seen_suspicions: dict[tuple[int, int, int], float] = {}  # when each was heard last
         self.last_contact_at = now  # when the latest probe was sent that anybody has answered
         self.next_round_at = now
@@ -209,16 +211,16 @@
         self.rounds_judged = 0
         self.rounds_void = 0  # rounds that didn't count, since this proxy was late itself
         self.away_changed = False
-        self.belong(members)
+        self.set_members(members)
 
-    def belong(self, members: frozenset[int]) -> None:
+    def set_members(self, members: frozenset[int]) -> None:
         """Sets who the members are; what is known of those that stay is kept."""
         others = members - {self.own_id}
-        for member in self.met.keys() - others:
-            del self.met[member]
+        for member in self.peers.keys() - others:
+            del self.peers[member]
             self.probe_queue.pop(member, None)
-        for member in others - self.met.keys():
-            self.met[member] = PeerState()
+        for member in others - self.peers.keys():
+            self.peers[member] = PeerState()
         self.probe_order = [member for member in self.probe_order if member in others]
         self.transmissions = 2 * ceil(log2(len(others) + 2))  # how often each suspicion is sent
 
@@ -226,18 +228,18 @@
 
     def state(self, member: int) -> MemberState:
         """Which state a member is in; this proxy is always alive."""
-        peer = self.met.get(member)
+        peer = self.peers.get(member)
         if peer is not None:
             return peer.state
         return MemberState.ALIVE if member == self.own_id else MemberState.NOT_A_MEMBER
 
-    def away(self) -> frozenset[int]:
+    def away_members(self) -> frozenset[int]:
         """The members that are held to be away."""
-        return frozenset(member for member, peer in self.met.items() if peer.away_since is not None)
+        return frozenset(member for member, peer in self.peers.items() if peer.away_since is not None)
 
-    def there(self) -> list[int]:
+    def alive_members(self) -> list[int]:
         """The members that have answered last, and aren't suspected."""
-        return [member for member, peer in self.met.items() if peer.state is MemberState.ALIVE]
+        return [member for member, peer in self.peers.items() if peer.state is MemberState.ALIVE]
 
     def is_isolated(self, now: float) -> bool:
         """Whether nobody has answered lately: then it is rather this proxy that is cut off."""
@@ -245,13 +247,13 @@
 
     # Messages
 
-    def heard(self, now: float, message: MembershipProbe) -> list[tuple[int, MembershipProbe]]:
+    def on_message(self, now: float, message: MembershipProbe) -> list[tuple[int, MembershipProbe]]:
         """Takes a message; returns what to send for it, and to whom."""
-        sender = self.met.get(message.sender)
+        sender = self.peers.get(message.sender)
         if sender is None:
             return []  # our own, or from one that isn't a member
-        for start in range(0, len(message.rumours) - 2, 3):
-            self._on_suspicion(now, *message.rumours[start : start + 3])
+        for start in range(0, len(message.suspicions) - 2, 3):
+            self._on_suspicion(now, *message.suspicions[start : start + 3])
         if message.kind == ProbeKind.PROBE:
             return self._on_probe(message, sender)
         if message.kind == ProbeKind.INDIRECT_PROBE:
@@ -263,17 +265,19 @@
         is_new = not sender.knows_incarnation(message.incarnation)
         if is_new or sender.suspected_since is not None or sender.away_since is not None:
             self.probe_queue.setdefault(message.sender)
-        return [(message.sender, self._message(ProbeKind.PROBE_ANSWER, message.mark, message.sender))]
+        return [
+            (message.sender, self._message(ProbeKind.PROBE_ANSWER, message.correlation_id, message.sender))
+        ]
 
     def _on_indirect_probe(self, now: float, message: MembershipProbe) -> list[tuple[int, MembershipProbe]]:
-        if message.subject not in self.met or len(self.relayed_probes) >= MAX_RELAYED_PROBES:
+        if message.subject not in self.peers or len(self.relayed_probes) >= MAX_RELAYED_PROBES:
             return []
-        mark, probe = self._probe(now, message.subject)
-        self.relayed_probes[mark] = RelayedProbe(message.sender, message.mark)
+        correlation_id, probe = self._probe(now, message.subject)
+        self.relayed_probes[correlation_id] = RelayedProbe(message.sender, message.correlation_id)
         return [(message.subject, probe)]
 
     def _on_answer(self, message: MembershipProbe) -> list[tuple[int, MembershipProbe]]:
-        probe = self.marks.get(message.mark)
+        probe = self.outstanding_probes.get(message.correlation_id)
         is_direct = message.kind == ProbeKind.PROBE_ANSWER
         if (
             probe is None
@@ -281,24 +285,24 @@
             or (is_direct and message.subject != message.sender)
         ):
             return []  # to no probe of this incarnation, too late, or answered before
-        del self.marks[message.mark]
-        self.unanswered.pop(message.mark, None)
+        del self.outstanding_probes[message.correlation_id]
+        self.unanswered.pop(message.correlation_id, None)
         if not is_direct:
             self._record_answer(message.subject, message.subject_incarnation, probe.sent_at, message.sender)
             return []
         self._record_answer(message.subject, message.incarnation, probe.sent_at, None)
-        relayed = self.relayed_probes.pop(message.mark, None)
+        relayed = self.relayed_probes.pop(message.correlation_id, None)
         if relayed is None:
             return []
         answer = self._message(
-            ProbeKind.INDIRECT_ANSWER, relayed.request_mark, message.sender, message.incarnation
+            ProbeKind.INDIRECT_ANSWER, relayed.request_correlation_id, message.sender, message.incarnation
         )
         return [(relayed.requester, answer)]
 
     def _record_answer(self, member: int, incarnation: int, sent_at: float, via: int | None) -> None:
         """A member has answered (to the member `via`, if any) a probe that was sent at `sent_at`."""
         self.last_contact_at = max(self.last_contact_at, sent_at)
-        peer = self.met[member]
+        peer = self.peers[member]
         if sent_at < peer.last_answered_at:
             return  # an answer that was delayed, perhaps by a former incarnation
         if incarnation != peer.incarnation:
@@ -312,12 +316,12 @@
         peer.away_since = None
         peer.failed_rounds = 0
         self.probe_queue.pop(member, None)
-        self.tales.pop((member, incarnation, self.own_id), None)
+        self.queued_suspicions.pop((member, incarnation, self.own_id), None)
 
     def _on_suspicion(self, now: float, member: int, incarnation: int, suspected_by: int) -> None:
         """`suspected_by` suspects another member."""
-        peer = self.met.get(member)
-        if peer is None or suspected_by == member or suspected_by not in self.met:
+        peer = self.peers.get(member)
+        if peer is None or suspected_by == member or suspected_by not in self.peers:
             return
         suspicion = Suspicion(member, incarnation, suspected_by)
         is_repeated = self.seen_suspicions.get(suspicion, -inf) >= now - PROBE_LIFETIME_S
@@ -341,33 +345,39 @@
         self.seen_suspicions[suspicion] = now
 
     def _queue_suspicion(self, member: int, incarnation: int, suspected_by: int) -> None:
-        while len(self.tales) >= MAX_QUEUED_SUSPICIONS:
-            del self.tales[next(iter(self.tales))]
-        self.tales[Suspicion(member, incarnation, suspected_by)] = self.transmissions
+        while len(self.queued_suspicions) >= MAX_QUEUED_SUSPICIONS:
+            del self.queued_suspicions[next(iter(self.queued_suspicions))]
+        self.queued_suspicions[Suspicion(member, incarnation, suspected_by)] = self.transmissions
 
-    def _message(self, kind: int, mark: int, subject: int, subject_incarnation: int = 0) -> MembershipProbe:
+    def _message(
+        self, kind: int, correlation_id: int, subject: int, subject_incarnation: int = 0
+    ) -> MembershipProbe:
         """A message, with the suspicions that have been sent least often."""
-        suspicions = sorted(self.tales, key=self.tales.__getitem__, reverse=True)[:SUSPICIONS_PER_MESSAGE]
+        suspicions = sorted(self.queued_suspicions, key=self.queued_suspicions.__getitem__, reverse=True)[
+            :SUSPICIONS_PER_MESSAGE
+        ]
         for suspicion in suspicions:
-            self.tales[suspicion] -= 1
-            if not self.tales[suspicion]:
-                del self.tales[suspicion]
+            self.queued_suspicions[suspicion] -= 1
+            if not self.queued_suspicions[suspicion]:
+                del self.queued_suspicions[suspicion]
         subject = self.own_id if kind in (ProbeKind.PROBE, ProbeKind.PROBE_ANSWER) else subject
         numbers = tuple(number for suspicion in suspicions for number in suspicion)
         return MembershipProbe(
-            kind, self.own_id, self.incarnation, mark, subject, subject_incarnation, numbers
+            kind, self.own_id, self.incarnation, correlation_id, subject, subject_incarnation, numbers
         )
 
     def _probe(self, now: float, member: int) -> tuple[int, MembershipProbe]:
         """A new probe of a member, and its number."""
         self.last_probe_id += 1
-        mark = self.last_probe_id
-        self.marks[mark] = OutstandingProbe(member, now)
+        correlation_id = self.last_probe_id
+        self.outstanding_probes[correlation_id] = OutstandingProbe(member, now)
         if self.state(member) is MemberState.ALIVE:
-            return mark, self._message(ProbeKind.PROBE, mark, member)
+            return correlation_id, self._message(ProbeKind.PROBE, correlation_id, member)
         # Without suspicions: each is sent a limited number of times, and those sent to members that have
         # failed would never spread.
-        return mark, MembershipProbe(ProbeKind.PROBE, self.own_id, self.incarnation, mark, self.own_id, 0, ())
+        return correlation_id, MembershipProbe(
+            ProbeKind.PROBE, self.own_id, self.incarnation, correlation_id, self.own_id, 0, ()
+        )
 
     # Rounds
 
@@ -386,12 +396,12 @@
         """Asks other members to probe those that haven't answered in this round."""
         out = []
         reachable = [
-            member for member, peer in self.met.items() if peer.incarnation and peer.away_since is None
+            member for member, peer in self.peers.items() if peer.incarnation and peer.away_since is None
         ]
-        for mark, member in self.unanswered.items():
+        for correlation_id, member in self.unanswered.items():
             others = [other for other in reachable if other != member]
             for prober in self.rng.sample(others, min(INDIRECT_PROBERS, len(others))):
-                out.append((prober, self._message(ProbeKind.INDIRECT_PROBE, mark, member)))
+                out.append((prober, self._message(ProbeKind.INDIRECT_PROBE, correlation_id, member)))
         return out
 
     def _end_round(self, now: float) -> None:
@@ -403,7 +413,7 @@
         self.rounds_judged += 1
         for member in self.unanswered.values():
             self._record_failed_probe(now, member)
-        for member, peer in self.met.items():
+        for member, peer in self.peers.items():
             if peer.suspected_since is None:
                 continue
             if self.is_isolated(now):
@@ -419,13 +429,13 @@
     def _void_round(self, lateness: float) -> None:
         """This proxy was stopped or overloaded: the answers may wait unread, so nobody is blamed for it."""
         self.rounds_void += 1
-        for peer in self.met.values():
+        for peer in self.peers.values():
             if peer.suspected_since is not None:
                 peer.suspected_since += lateness
         self.last_contact_at += lateness
 
     def _record_failed_probe(self, now: float, member: int) -> None:
-        peer = self.met.get(member)
+        peer = self.peers.get(member)
         if peer is None:
             return
         if peer.suspected_since is None and peer.away_since is None:
@@ -443,21 +453,25 @@
         self._drop_expired_probes(now)
         out = []
         for member in self._members_to_probe():
-            mark, probe = self._probe(now, member)
-            self.unanswered[mark] = member
+            correlation_id, probe = self._probe(now, member)
+            self.unanswered[correlation_id] = member
             out.append((member, probe))
         self.indirect_probes_at = now + DIRECT_ANSWER_TIMEOUT_S if out else inf
         return out
 
     def _drop_expired_probes(self, now: float) -> None:
         earliest = now - PROBE_LIFETIME_S
-        for mark in [mark for mark, probe in self.marks.items() if probe.sent_at < earliest]:
-            del self.marks[mark]
-            self.relayed_probes.pop(mark, None)
+        for correlation_id in [
+            correlation_id
+            for correlation_id, probe in self.outstanding_probes.items()
+            if probe.sent_at < earliest
+        ]:
+            del self.outstanding_probes[correlation_id]
+            self.relayed_probes.pop(correlation_id, None)
 
     def _members_to_probe(self) -> list[int]:
         if not self.probe_order:
-            self.probe_order = sorted(self.met)
+            self.probe_order = sorted(self.peers)
             self.rng.shuffle(self.probe_order)
         members = [self.probe_order.pop()] if self.probe_order else []
         for member in list(self.probe_queue)[:SUSPECTS_PER_ROUND]:
@@ -468,19 +482,19 @@
 
     # Reports
 
-    def news(self) -> bool:
+    def take_away_changed(self) -> bool:
         """Whether the set of members that are away has changed since the last call."""
         changed = self.away_changed
         self.away_changed = False
         return changed
 
-    def lines(self, now: float) -> list[str]:
+    def format_lines(self, now: float) -> list[str]:
         """For operators: the number of members in each state, rounds judged and void, whether isolated.
 
         A line follows for each member that is suspected or away, with who else suspects it, and for each
         that is reached through another member alone.
         """
-        states = [peer.state for peer in self.met.values()]
+        states = [peer.state for peer in self.peers.values()]
         out = [
             f"members.me:{self.own_id}",
             f"members.life:{self.incarnation:012x}",
@@ -489,7 +503,7 @@
             f"members.void:{self.rounds_void}",
             f"members.alone:{int(self.is_isolated(now))}",
         ]
-        for member, peer in sorted(self.met.items()):
+        for member, peer in sorted(self.peers.items()):
             line = self._peer_line(now, member, peer)
             if line is not None:
                 out.append(line)
--- a/calicofall/fleet/outlier_consensus.py
+++ b/calicofall/fleet/outlier_consensus.py
@@ -60,7 +60,7 @@
 MIN_ASKING_PEERS = 2
 ANSWER_TIMEOUT_S = 0.3
 ROUND_INTERVAL_S = 0.5
-HOLD = 5.0  # s
+DECISION_LIFETIME_S = 5.0  # s
 QUERIES_PER_ROUND = 2
 REQUERY_AFTER_S = 2.0
 MAX_EJECTED_FRACTION = 0.1
@@ -81,15 +81,15 @@
 
 
 # The names by which proxy/outlier_reports.py imports these.
-SICK = EndpointHealth.UNHEALTHY
-WAY = EndpointHealth.UNREACHABLE_FROM_ZONE
-FINE = EndpointHealth.HEALTHY
-CROWDED = EndpointHealth.OVERLOADED
-UNSURE = EndpointHealth.UNDECIDED
-LARGE = "slow for large answers"
-SIZE = LARGE_ANSWER_BYTES
-SLOW = SLOW_FACTOR
-Sizes = LargeAnswerStatistics
+UNHEALTHY = EndpointHealth.UNHEALTHY
+UNREACHABLE_FROM_ZONE = EndpointHealth.UNREACHABLE_FROM_ZONE
+HEALTHY = EndpointHealth.HEALTHY
+OVERLOADED = EndpointHealth.OVERLOADED
+UNDECIDED = EndpointHealth.UNDECIDED
+SLOW_FOR_LARGE_ANSWERS = "slow for large answers"
+LARGE_ANSWER_MIN_BYTES = LARGE_ANSWER_BYTES
+SLOW_LATENCY_FACTOR = SLOW_FACTOR
+AnswerSizeStatistics = LargeAnswerStatistics
 
 
 class EvidenceMessage(NamedTuple):
@@ -103,12 +103,12 @@
     is_query: bool
     sender: int
     incarnation: int
-    mark: int
+    correlation_id: int
     endpoint: int
     zone: int
-    well: int
-    badly: int
-    age: int
+    successes: int
+    failures: int
+    last_success_age_ms: int
     endpoint_requests: int = 0
     mean_endpoint_requests: int = 0
 
@@ -116,11 +116,11 @@
 class EjectionDecision(NamedTuple):
     """The result of a query (`what`): how many of the votes were for unhealthy, and whose; expiry (s)."""
 
-    what: EndpointHealth
-    sick: int
+    health: EndpointHealth
+    unhealthy_votes: int
     votes: int
-    by: tuple[int, ...]
-    until: float
+    unhealthy_voters: tuple[int, ...]
+    expires_at: float
 
 
 class PeerEvidence(NamedTuple):
@@ -247,23 +247,23 @@
         self.totals = (Evidence(), Evidence())  # of all endpoints; of all ids for large answers
         self.queries: dict[int, EvidenceQuery] = {}  # by number
         self.last_queried_at: dict[int, float] = {}  # by endpoint
-        self.askers: dict[int, dict[int, float]] = {}  # by endpoint, who asked us about it, and when
-        self.verdicts: dict[int, EjectionDecision] = {}
+        self.peer_queries: dict[int, dict[int, float]] = {}  # by endpoint, who asked us about it, and when
+        self.decisions: dict[int, EjectionDecision] = {}
         self.new_decisions: list[tuple[int, EjectionDecision]] = []
         self.last_query_id = rng.getrandbits(40)
         self.next_round_at = 0.0
-        self.asked = 0  # messages sent for queries
-        self.made = 0  # decisions
+        self.query_messages_sent = 0  # messages sent for queries
+        self.decisions_made = 0  # decisions
 
-    def keep(self, endpoints: set[int], large_answer_ids: Iterable[int] = ()) -> None:
+    def set_endpoints(self, endpoints: set[int], large_answer_ids: Iterable[int] = ()) -> None:
         """Sets the endpoints, and which ids are for large answers; what is known of others is dropped."""
         self.listed = frozenset(endpoints)
         self.large_answer_ids = frozenset(large_answer_ids)
         tables: tuple[dict[int, Any], ...] = (
             self.evidence,
             self.last_queried_at,
-            self.askers,
-            self.verdicts,
+            self.peer_queries,
+            self.decisions,
         )
         for table in tables:
             for endpoint in table.keys() - endpoints:
@@ -271,7 +271,7 @@
 
     # Evidence
 
-    def saw(self, now: float, endpoint: int, well: bool, weight: float = 1.0) -> None:
+    def record_result(self, now: float, endpoint: int, well: bool, weight: float = 1.0) -> None:
         """A request of ours has ended, and counts for this endpoint id with this weight."""
         evidence = self.evidence.get(endpoint)
         if evidence is None:
@@ -286,15 +286,15 @@
         else:
             evidence.record_failure(now, weight)
 
-    def seen(self, now: float, endpoint: int) -> tuple[float, float]:
+    def recent_results(self, now: float, endpoint: int) -> tuple[float, float]:
         """Successes and failures at an endpoint lately."""
         evidence = self.evidence.get(endpoint)
         return evidence.decay(now) if evidence is not None else (0.0, 0.0)
 
-    def load(self, now: float, endpoint: int) -> tuple[float, float]:
+    def recent_load(self, now: float, endpoint: int) -> tuple[float, float]:
         """Requests that ended at an endpoint lately, and at the mean endpoint."""
         is_large = endpoint in self.large_answer_ids
-        self.seen(now, endpoint)
+        self.recent_results(now, endpoint)
         total = self.totals[is_large]
         total.decay(now)
         large_count = len(self.large_answer_ids)
@@ -304,39 +304,41 @@
 
     # Messages
 
-    def heard(self, now: float, message: EvidenceMessage) -> EvidenceMessage | None:
+    def on_message(self, now: float, message: EvidenceMessage) -> EvidenceMessage | None:
         """Takes a message; returns the answer to its sender, if any."""
         if message.sender == self.own_id:
             return None
         if message.is_query:
             if message.endpoint in self.listed:
-                self.askers.setdefault(message.endpoint, {})[message.sender] = now
-            return self._word(now, False, message.mark, message.endpoint)
-        query = self.queries.get(message.mark)
+                self.peer_queries.setdefault(message.endpoint, {})[message.sender] = now
+            return self._make_message(now, False, message.correlation_id, message.endpoint)
+        query = self.queries.get(message.correlation_id)
         # Each member that was asked counts once: neither duplicates nor answers to a former incarnation do.
         if query is not None and message.endpoint == query.endpoint and message.sender in query.awaited:
             query.awaited.discard(message.sender)
             query.replies[message.sender] = PeerEvidence(
                 message.zone,
-                message.well / UNITS_PER_REQUEST,
-                message.badly / UNITS_PER_REQUEST,
-                now - message.age / 1000.0,
+                message.successes / UNITS_PER_REQUEST,
+                message.failures / UNITS_PER_REQUEST,
+                now - message.last_success_age_ms / 1000.0,
                 message.endpoint_requests / UNITS_PER_REQUEST,
                 message.mean_endpoint_requests / UNITS_PER_REQUEST,
             )
         return None
 
-    def _word(self, now: float, is_query: bool, mark: int, endpoint: int) -> EvidenceMessage:
+    def _make_message(
+        self, now: float, is_query: bool, correlation_id: int, endpoint: int
+    ) -> EvidenceMessage:
         """A query or an answer, with our evidence on the endpoint."""
-        successes, failures = self.seen(now, endpoint)
+        successes, failures = self.recent_results(now, endpoint)
         evidence = self.evidence.get(endpoint)
         last_success_at = evidence.ended_in_success_at() if evidence is not None else -NEVER_S
-        requests, mean_requests = self.load(now, endpoint)
+        requests, mean_requests = self.recent_load(now, endpoint)
         return EvidenceMessage(
             is_query,
             self.own_id,
             self.incarnation,
-            mark,
+            correlation_id,
             endpoint,
             self.zone,
             round(successes * UNITS_PER_REQUEST),
@@ -359,13 +361,13 @@
             if now >= query.ends_at or not query.awaited:
                 del self.queries[query_id]
                 self._decide(now, query)
-        self.verdicts = {
-            endpoint: decision for endpoint, decision in self.verdicts.items() if decision.until > now
+        self.decisions = {
+            endpoint: decision for endpoint, decision in self.decisions.items() if decision.expires_at > now
         }
         out: list[tuple[int, EvidenceMessage]] = []
         if now >= self.next_round_at:
             self.next_round_at = now + ROUND_INTERVAL_S * self.chance.uniform(0.9, 1.0)
-            for endpoint in self._open(now, avoided)[:QUERIES_PER_ROUND]:
+            for endpoint in self._endpoints_to_query(now, avoided)[:QUERIES_PER_ROUND]:
                 out += self._query(now, endpoint, reachable)
         return out, min([self.next_round_at, *(query.ends_at for query in self.queries.values())])
 
@@ -376,18 +378,18 @@
         self.last_query_id += 1
         self.last_queried_at[endpoint] = now
         self.queries[self.last_query_id] = EvidenceQuery(endpoint, now + ANSWER_TIMEOUT_S, peers)
-        self.asked += len(peers)
-        message = self._word(now, True, self.last_query_id, endpoint)
+        self.query_messages_sent += len(peers)
+        message = self._make_message(now, True, self.last_query_id, endpoint)
         return [(peer, message) for peer in peers]
 
-    def _open(self, now: float, avoided: set[int]) -> list[int]:
+    def _endpoints_to_query(self, now: float, avoided: set[int]) -> list[int]:
         """Endpoints to query, those that are suspected here first."""
         own = []
         others = []
         for endpoint in self.listed:
             if self._is_queried(now, endpoint):
                 continue
-            successes, failures = self.seen(now, endpoint)
+            successes, failures = self.recent_results(now, endpoint)
             asking_peers = self._asking_peers(now, endpoint)
             if endpoint in avoided or (failures >= MIN_FAILURES_TO_SUSPECT and failures > successes):
                 own.append(endpoint)
@@ -405,18 +407,18 @@
 
     def _asking_peers(self, now: float, endpoint: int) -> int:
         """How many others have asked about an endpoint lately."""
-        asking = self.askers.get(endpoint)
+        asking = self.peer_queries.get(endpoint)
         if not asking:
             return 0
-        recent = {peer: asked_at for peer, asked_at in asking.items() if asked_at > now - HOLD}
-        self.askers[endpoint] = recent
+        recent = {peer: asked_at for peer, asked_at in asking.items() if asked_at > now - DECISION_LIFETIME_S}
+        self.peer_queries[endpoint] = recent
         return len(recent)
 
     # Decisions
 
     def _decide(self, now: float, query: EvidenceQuery) -> None:
         """Ends a query with a decision."""
-        own = self.seen(now, query.endpoint)
+        own = self.recent_results(now, query.endpoint)
         votes = self._peer_votes(query)
         vouching = self._vouching_votes(query, votes)
         if sum(own) >= MIN_REQUESTS_TO_VOTE:
@@ -424,13 +426,15 @@
         health = self._health(now, query, votes)
         # With enough evidence of its own, a proxy believes in health only if it has seen it, too.
         trusts_peers = sum(own) < SUFFICIENT_OWN_REQUESTS or own[0] > own[1]
-        if health is UNSURE and trusts_peers and vouching.total >= MIN_VOTES and vouching.most_healthy:
-            health = FINE
+        if health is UNDECIDED and trusts_peers and vouching.total >= MIN_VOTES and vouching.most_healthy:
+            health = HEALTHY
         unhealthy = sorted(voter for voter, vote in votes.items() if vote.is_unhealthy)
-        decision = EjectionDecision(health, len(unhealthy), len(votes), tuple(unhealthy), now + HOLD)
-        self.verdicts[query.endpoint] = decision
-        self.made += 1
-        if health is not UNSURE:
+        decision = EjectionDecision(
+            health, len(unhealthy), len(votes), tuple(unhealthy), now + DECISION_LIFETIME_S
+        )
+        self.decisions[query.endpoint] = decision
+        self.decisions_made += 1
+        if health is not UNDECIDED:
             self.new_decisions.append((query.endpoint, decision))
 
     @staticmethod
@@ -461,16 +465,16 @@
         far = Tally.of(vote for vote in votes.values() if vote.zone != self.zone)
         both_sides = near.majority_unhealthy_or_none and far.majority_unhealthy_or_none
         if everywhere.total >= MIN_VOTES and everywhere.most_unhealthy and both_sides:
-            return CROWDED if self._is_overloaded(now, query, votes) else SICK
+            return OVERLOADED if self._is_overloaded(now, query, votes) else UNHEALTHY
         enough_votes = near.total >= MIN_ZONE_VOTES and far.total >= MIN_VOTES
         if enough_votes and near.most_unhealthy and far.most_healthy:
-            return WAY
-        return UNSURE
+            return UNREACHABLE_FROM_ZONE
+        return UNDECIDED
 
     def _is_overloaded(self, now: float, query: EvidenceQuery, votes: dict[int, Vote]) -> bool:
         """Whether an endpoint fails because it is sent too much, and not because it is unhealthy."""
         replies = [query.replies[voter] for voter in votes if voter != self.own_id]
-        own_requests, own_mean = self.load(now, query.endpoint)
+        own_requests, own_mean = self.recent_load(now, query.endpoint)
         excess = [own_requests - OVERLOAD_FACTOR * own_mean]
         excess += [
             reply.endpoint_requests - OVERLOAD_FACTOR * reply.mean_endpoint_requests for reply in replies
@@ -480,13 +484,13 @@
         responsive = sum(reply.last_success_at > now - NEVER_S / 2 for reply in replies)
         return is_sent_too_much and responsive > MIN_RESPONSIVE_FRACTION * len(votes)
 
-    def news(self) -> list[tuple[int, EjectionDecision]]:
+    def take_new_decisions(self) -> list[tuple[int, EjectionDecision]]:
         """The decisions made since the last call, with their endpoints; none that are undecided."""
         decisions = self.new_decisions
         self.new_decisions = []
         return decisions
 
     @staticmethod
-    def room(listed: int, ejected: int) -> bool:
+    def may_eject(listed: int, ejected: int) -> bool:
         """Whether one more endpoint may be ejected on peers' evidence, of so many listed and ejected."""
         return ejected < max(1, int(MAX_EJECTED_FRACTION * listed))
--- a/calicofall/fleet/quota_leases.py
+++ b/calicofall/fleet/quota_leases.py
@@ -41,8 +41,10 @@
 
 UNITS = 1 << 20
 MAX_LENT_FRACTION = 0.75
-LENT_OF_RATES = 0.95  # a low floor costs little: requests over a rate are served while there is capacity
-ROUND = 0.25  # s
+MAX_LENT_FRACTION_OF_RATES = (
+    0.95  # a low floor costs little: requests over a rate are served while there is capacity
+)
+ROUND_INTERVAL_S = 0.25  # s
 REQUESTS_PER_ROUND = 8
 MAX_BORROWED_LEASES = 64  # of one limit
 RESEND_AFTER_S = 0.5
@@ -64,10 +66,10 @@
     is_request: bool
     sender: int
     incarnation: int
-    mark: int
-    limit: int
+    correlation_id: int
+    limit_id: int
     units: int
-    question: int = 0
+    request_number: int = 0
     slot: int = 0
 
 
@@ -118,7 +120,7 @@
 
     def __init__(  # noqa: PLR0913 -- proxy/ and startup/ pass these by position
         self,
-        number: int,
+        limit_id: int,
         own_id: int,
         incarnation: int,
         proxies: int,
@@ -127,7 +129,7 @@
         drift: float,
         rng: Random,
     ) -> None:
-        self.limit_id = number
+        self.limit_id = limit_id
         self.own_id = own_id
         self.incarnation = incarnation
         self.lease_s = lease
@@ -137,13 +139,13 @@
         self.started_at = now
         # In a fleet of thousands all that a proxy owns is less than the usual smallest lease.
         self.min_lease_units = max(1, min(self.min_lease_units, self.own_units // MIN_LEASES_OF_OWN_UNITS))
-        self.lent: dict[LeaseKey, LentLease] = {}
-        self.borrowed: dict[int, BorrowedLease] = {}  # by the lease's number
-        self.asked: dict[int, PendingRequest] = {}  # by the lease's number
+        self.lent_leases: dict[LeaseKey, LentLease] = {}
+        self.borrowed_leases: dict[int, BorrowedLease] = {}  # by the lease's number
+        self.pending_requests: dict[int, PendingRequest] = {}  # by the lease's number
         self.declined_at: dict[int, float] = {}  # by owner, when it had nothing to lend
         self.last_lease_id = rng.getrandbits(40)
         self.last_request_number = 0
-        self.wants = 0  # units that would be used here without a limit
+        self.demand_units = 0  # units that would be used here without a limit
         self.next_round_at = now
         self.pinned = False  # by an operator: no new leases either way, those that run expire
 
@@ -151,19 +153,21 @@
 
     def units_lent(self, now: float) -> int:
         """Units of our own that others may use; at first all that a former incarnation may have lent."""
-        self.lent = {key: lease for key, lease in self.lent.items() if lease.expires_at > now}
-        lent = sum(lease.units for lease in self.lent.values())
+        self.lent_leases = {key: lease for key, lease in self.lent_leases.items() if lease.expires_at > now}
+        lent = sum(lease.units for lease in self.lent_leases.values())
         return max(lent, self.lendable_units) if self._is_new(now) else lent
 
-    def part(self, now: float, duration_s: float = 0.0) -> int:
+    def usable_units(self, now: float, duration_s: float = 0.0) -> int:
         """Units that may be used here now; to be called right before each use.
 
         For a use that lasts `duration_s` seconds, only leases that run for longer count.
         """
-        self.borrowed = {
-            lease_id: lease for lease_id, lease in self.borrowed.items() if lease.expires_at > now
+        self.borrowed_leases = {
+            lease_id: lease for lease_id, lease in self.borrowed_leases.items() if lease.expires_at > now
         }
-        borrowed = sum(lease.units for lease in self.borrowed.values() if lease.expires_at > now + duration_s)
+        borrowed = sum(
+            lease.units for lease in self.borrowed_leases.values() if lease.expires_at > now + duration_s
+        )
         usable = self.own_units - self.units_lent(now) + borrowed
         assert usable >= self.own_units - self.lendable_units, "a part is its floor at least"
         return min(self.total, usable)
@@ -178,9 +182,9 @@
         """Units in one lease at most."""
         return self.lendable_units
 
-    def want(self, units: int) -> None:
+    def set_demand(self, units: int) -> None:
         """Sets the demand: units that would be used here without a limit."""
-        self.wants = min(self.total, max(0, units))
+        self.demand_units = min(self.total, max(0, units))
 
     def _is_new(self, now: float) -> bool:
         """Whether leases that a former incarnation has lent may still run."""
@@ -188,7 +192,7 @@
 
     # Messages
 
-    def heard(self, now: float, message: QuotaLeaseMessage) -> QuotaLeaseMessage | None:
+    def on_message(self, now: float, message: QuotaLeaseMessage) -> QuotaLeaseMessage | None:
         """Takes a message; returns the answer to its sender, if any."""
         if message.is_request:
             return self._on_request(now, message)
@@ -199,28 +203,39 @@
         units = self._grant(now, message)
         slot = self._choose_slot(message) if units else 0
         return QuotaLeaseMessage(
-            False, self.own_id, self.incarnation, message.mark, self.limit_id, units, message.question, slot
+            False,
+            self.own_id,
+            self.incarnation,
+            message.correlation_id,
+            self.limit_id,
+            units,
+            message.request_number,
+            slot,
         )
 
     def _on_answer(self, now: float, message: QuotaLeaseMessage) -> None:
-        request = self.asked.get(message.mark)
+        request = self.pending_requests.get(message.correlation_id)
         # Only the request that is answered tells when the lease began. Without this an answer to the first
         # request that comes late, or twice, would pass for one to a renewal that was lost, and the lease
         # would run longer here than at its owner.
-        if request is None or request.owner != message.sender or message.question not in request.sent_at:
+        if (
+            request is None
+            or request.owner != message.sender
+            or message.request_number not in request.sent_at
+        ):
             return  # to no request of this incarnation, or answered before
-        sent_at = request.sent_at[message.question]
-        del self.asked[message.mark]
+        sent_at = request.sent_at[message.request_number]
+        del self.pending_requests[message.correlation_id]
         if message.units < self.min_lease_units:
             self.declined_at[request.owner] = now
-            self.borrowed.pop(message.mark, None)
+            self.borrowed_leases.pop(message.correlation_id, None)
             return
         expires_at = sent_at + self.lease_s
         if expires_at <= now or message.units > request.units:
             return
-        previous = self.borrowed.get(message.mark)
+        previous = self.borrowed_leases.get(message.correlation_id)
         is_new = previous is None or previous.expires_at <= now
-        self.borrowed[message.mark] = BorrowedLease(request.owner, message.units, expires_at)
+        self.borrowed_leases[message.correlation_id] = BorrowedLease(request.owner, message.units, expires_at)
         self._on_lease_held(message, is_new)
 
     def _choose_slot(self, message: QuotaLeaseMessage) -> int:
@@ -232,10 +247,10 @@
 
     def _grant(self, now: float, message: QuotaLeaseMessage) -> int:
         """How many units are lent for a request."""
-        key = LeaseKey(message.sender, message.incarnation, message.mark)
+        key = LeaseKey(message.sender, message.incarnation, message.correlation_id)
         lent = self.units_lent(now)
         spare = self._spare_units(lent)
-        lease = self.lent.get(key)
+        lease = self.lent_leases.get(key)
         if lease is not None:
             # A renewal, or a duplicate: the same units for longer, and never more, since the borrower may not
             # have had the last answer. Without spare units the lease expires.
@@ -246,14 +261,14 @@
             units = min(message.units, spare, self.max_lease_units, self.lendable_units - lent)
             if self._is_new(now) or units < self.min_lease_units:
                 return 0
-        self.lent[key] = LentLease(units, now + self.grant_s)
+        self.lent_leases[key] = LentLease(units, now + self.grant_s)
         return min(units, message.units)
 
     def _spare_units(self, lent: int) -> int:
         """Units that our own demand leaves over, of those that aren't lent; below 0: renew nothing."""
         if self.pinned:
             return -1
-        return self.own_units - lent - min(self.own_units, ceil(self.wants * self.demand_margin))
+        return self.own_units - lent - min(self.own_units, ceil(self.demand_units * self.demand_margin))
 
     # Rounds
 
@@ -264,11 +279,11 @@
         """
         if now < self.next_round_at:
             return [], self.next_round_at
-        self.next_round_at = now + ROUND * self.rng.uniform(0.9, 1.0)
-        usable = self.part(now)
+        self.next_round_at = now + ROUND_INTERVAL_S * self.rng.uniform(0.9, 1.0)
+        usable = self.usable_units(now)
         earliest = now - DECLINED_BACKOFF_S
         self.declined_at = {owner: at for owner, at in self.declined_at.items() if at > earliest}
-        target = 0 if self.pinned else min(self.total, ceil(self.wants * self.demand_margin))
+        target = 0 if self.pinned else min(self.total, ceil(self.demand_units * self.demand_margin))
         out = self._resend(now)
         out += self._renew(now, usable - target)
         out += self._borrow(now, min(target - usable, self.total), reachable)
@@ -280,34 +295,36 @@
         Without this one lost datagram would cost a renewal, and with it the lease.
         """
         out = []
-        for lease_id, (owner, units, sent_at) in list(self.asked.items()):
+        for lease_id, (owner, units, sent_at) in list(self.pending_requests.items()):
             if now - max(sent_at.values()) < RESEND_AFTER_S:
                 continue
-            if now - min(sent_at.values()) < self.lease_s or lease_id in self.borrowed:
+            if now - min(sent_at.values()) < self.lease_s or lease_id in self.borrowed_leases:
                 out.append((owner, self._request(now, lease_id, owner, units)))
             else:
-                del self.asked[lease_id]
+                del self.pending_requests[lease_id]
                 self.declined_at[owner] = now
         return out
 
     def _renew(self, now: float, excess: int) -> list[tuple[int, QuotaLeaseMessage]]:
         """Renews leases in the second half of their time; `excess` units of them are left to expire."""
         out = []
-        by_expiry = sorted(self.borrowed.items(), key=lambda item: item[1].expires_at)
+        by_expiry = sorted(self.borrowed_leases.items(), key=lambda item: item[1].expires_at)
         for lease_id, (owner, units, expires_at) in by_expiry:
             if excess >= units:
                 excess -= units
-            elif expires_at - now < self.lease_s / 2.0 and lease_id not in self.asked:
+            elif expires_at - now < self.lease_s / 2.0 and lease_id not in self.pending_requests:
                 out.append((owner, self._request(now, lease_id, owner, units)))
         return out
 
     def _borrow(self, now: float, missing: int, reachable: list[int]) -> list[tuple[int, QuotaLeaseMessage]]:
         """Requests new leases for the units that are missing beyond those already requested."""
         missing -= sum(
-            request.units for lease_id, request in self.asked.items() if lease_id not in self.borrowed
+            request.units
+            for lease_id, request in self.pending_requests.items()
+            if lease_id not in self.borrowed_leases
         )
         owners = self._available_owners(reachable)
-        count = min(REQUESTS_PER_ROUND, MAX_BORROWED_LEASES - len(self.borrowed), len(owners))
+        count = min(REQUESTS_PER_ROUND, MAX_BORROWED_LEASES - len(self.borrowed_leases), len(owners))
         if missing < self.min_lease_units or count <= 0:
             return []
         out = []
@@ -322,8 +339,8 @@
 
     def _available_owners(self, reachable: list[int]) -> list[int]:
         """Those that may be asked for one lease more."""
-        owner_by_lease = {lease_id: lease.owner for lease_id, lease in self.borrowed.items()}
-        owner_by_lease |= {lease_id: request.owner for lease_id, request in self.asked.items()}
+        owner_by_lease = {lease_id: lease.owner for lease_id, lease in self.borrowed_leases.items()}
+        owner_by_lease |= {lease_id: request.owner for lease_id, request in self.pending_requests.items()}
         leases = Counter(owner_by_lease.values())
         return [
             peer
@@ -333,27 +350,37 @@
             and peer != self.own_id
         ]
 
-    def _request(self, now: float, mark: int, owner: int, units: int) -> QuotaLeaseMessage:
+    def _request(self, now: float, correlation_id: int, owner: int, units: int) -> QuotaLeaseMessage:
         self.last_request_number += 1
-        earlier = self.asked[mark].sent_at if mark in self.asked else {}
-        self.asked[mark] = PendingRequest(owner, units, earlier | {self.last_request_number: now})
+        earlier = (
+            self.pending_requests[correlation_id].sent_at if correlation_id in self.pending_requests else {}
+        )
+        self.pending_requests[correlation_id] = PendingRequest(
+            owner, units, earlier | {self.last_request_number: now}
+        )
         return QuotaLeaseMessage(
-            True, self.own_id, self.incarnation, mark, self.limit_id, units, self.last_request_number
+            True,
+            self.own_id,
+            self.incarnation,
+            correlation_id,
+            self.limit_id,
+            units,
+            self.last_request_number,
         )
 
-    def until(self, now: float) -> float:
+    def next_change_at(self, now: float) -> float:
         """When the number of usable units next changes by time alone (s)."""
-        ends = [lease.expires_at for lease in self.borrowed.values()]
-        ends += [lease.expires_at for lease in self.lent.values()]
+        ends = [lease.expires_at for lease in self.borrowed_leases.values()]
+        ends += [lease.expires_at for lease in self.lent_leases.values()]
         if self._is_new(now):
             ends.append(self.started_at + self.grant_s)
         return min(ends, default=inf)
 
-    def line(self, now: float) -> str:
+    def format_line(self, now: float) -> str:
         """For operators: usable, own and lent parts of the limit, the lenders, the soonest end of a lease."""
-        usable = self.part(now)
-        owners = sorted({lease.owner for lease in self.borrowed.values()})
-        soonest = min((lease.expires_at for lease in self.borrowed.values()), default=now)
+        usable = self.usable_units(now)
+        owners = sorted({lease.owner for lease in self.borrowed_leases.values()})
+        soonest = min((lease.expires_at for lease in self.borrowed_leases.values()), default=now)
         return (
             f"part={usable / self.total:.4f} own={self.own_units / self.total:.4f} "
             f"lent={self.units_lent(now) / self.total:.4f} "
@@ -364,5 +391,5 @@
 class RateQuotaLeases(QuotaLeases):
     """The rate of a tenant."""
 
-    max_lent_fraction = LENT_OF_RATES
+    max_lent_fraction = MAX_LENT_FRACTION_OF_RATES
     demand_margin = RATE_DEMAND_MARGIN
--- a/calicofall/fleet/settings_compatibility.py
+++ b/calicofall/fleet/settings_compatibility.py
@@ -38,7 +38,7 @@
 Settings = dict[str, Any]
 Method = dict[str, Any]
 
-CLOSED = NO_PLACE
+CLOSED_PLACE = NO_PLACE
 
 # Fields of a method in normalized settings that bind, and their names in the operators' words.
 OPERATOR_NAMES = {
@@ -75,7 +75,7 @@
 # What two versions allow together
 
 
-def both(older: Settings, newer: Settings) -> Settings:
+def combine_settings(older: Settings, newer: Settings) -> Settings:
     """The settings that two versions allow together; what does not bind is the newer version's."""
     combined = dict(newer)
     for part, fields in NAMED_PARTS.items():
@@ -101,7 +101,7 @@
     return combined
 
 
-def between(older: Method, newer: Method) -> Method:
+def combine_methods(older: Method, newer: Method) -> Method:
     """The method that two versions allow together, for a request taken under the older one.
 
     Both methods are in the words of normalized settings.
@@ -114,7 +114,7 @@
     return combined
 
 
-def lapsed(settings: Settings) -> Settings:
+def restrict_without_lease(settings: Settings) -> Settings:
     """What a proxy without a lease may act on: what no later version can forbid, by promises.
 
     A method that keeps `place` goes on, unless the operators refuse it (`lapsed`); any other is refused. One
@@ -217,7 +217,9 @@
     if broken:
         current = _withdraw_promises(current, target, broken)
         steps.append(current)
-    without_place = {method["name"] for method in both(current, target)["methods"] if has_no_place(method)}
+    without_place = {
+        method["name"] for method in combine_settings(current, target)["methods"] if has_no_place(method)
+    }
     if without_place:
         current = _widen_methods(current, target, without_place)
         steps.append(current)
--- a/calicofall/fleet/settings_document.py
+++ b/calicofall/fleet/settings_document.py
@@ -24,8 +24,8 @@
 from calicofall.fleet.configuration_agreement import ConfigurationVersion, grant_duration
 from calicofall.fleet.settings_fields import EFFECTS, PROMISES, Binding
 
-OWN = ("me", "zone")  # of the settings, what each proxy has for itself
-KEEPERS = 25  # where no voters are named, the first so many members
+PER_PROXY_SETTINGS = ("me", "zone")  # of the settings, what each proxy has for itself
+DEFAULT_VOTER_COUNT = 25  # where no voters are named, the first so many members
 MAX_DOCUMENT_BYTES = 1 << 20
 DIGEST_BYTES = 16
 DOCUMENT_FIELDS = {
@@ -42,7 +42,7 @@
 }
 CANARY_FIELDS = {"members", "s", "worse"}
 WITHOUT_LEASE = (None, "go on", "refuse")  # values of a method's `lapsed`
-MAX_SPAN_S = 3600.0
+MAX_DURATION_S = 3600.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,10 +79,10 @@
         return float(data.get(self.name, self.default))
 
 
-LEASE_S = NumberField("s", 3.0, 0.5, MAX_SPAN_S, "seconds from 0.5")
+LEASE_S = NumberField("s", 3.0, 0.5, MAX_DURATION_S, "seconds from 0.5")
 LEASE_DRIFT = NumberField("drift", 0.01, 0.0, 0.5, "a number from 0")
-LEASE_PAUSE_S = NumberField("pauseS", 0.5, 0.0, MAX_SPAN_S, "a number from 0")
-CANARY_DURATION_S = NumberField("s", 10.0, 0.0, MAX_SPAN_S, "a number over 0, to 3600,", above_least=True)
+LEASE_PAUSE_S = NumberField("pauseS", 0.5, 0.0, MAX_DURATION_S, "a number from 0")
+CANARY_DURATION_S = NumberField("s", 10.0, 0.0, MAX_DURATION_S, "a number over 0, to 3600,", above_least=True)
 CANARY_INCREASE = NumberField("worse", 0.05, 0.0, 1.0, "a number over 0, to 1,", above_least=True)
 
 # Raises KeyError with the first of these names that a normalized method lacks.
@@ -129,8 +129,8 @@
     """
 
     members: tuple[int, ...]
-    span: float
-    worse: float
+    duration_s: float
+    max_increase: float
 
 
 class SettingsDocument(NamedTuple):
@@ -152,40 +152,40 @@
     """
 
     version: int
-    after: int
+    previous: int
     note: str
     fleet: str
     members: tuple[int, ...]
-    keepers: tuple[int, ...]
-    lease: float
+    voters: tuple[int, ...]
+    lease_s: float
     drift: float
-    pause: float
+    pause_s: float
     settings: dict[str, Any]
     digest: str
-    trial: CanaryPlan | None = None
+    canary: CanaryPlan | None = None
 
     @property
-    def terms(self) -> ConfigurationVersion:
+    def configuration_version(self) -> ConfigurationVersion:
         """What configuration agreement needs of it."""
         return ConfigurationVersion(
-            self.version, frozenset(self.members), frozenset(self.keepers), self.after
+            self.version, frozenset(self.members), frozenset(self.voters), self.previous
         )
 
     @property
-    def bound(self) -> float:
+    def supersession_bound_s(self) -> float:
         """The time (s) after which nobody acts on this version alone, once a majority holds a newer one."""
-        return grant_duration(self.lease, self.drift) + self.pause
+        return grant_duration(self.lease_s, self.drift) + self.pause_s
 
     def to_json(self) -> dict[str, Any]:
         """The document as it is written, without its digest and without what concerns a canary."""
         return {
             "version": self.version,
-            "after": self.after,
+            "after": self.previous,
             "note": self.note,
             "fleet": self.fleet,
             "members": list(self.members),
-            "keepers": list(self.keepers),
-            "lease": {"s": self.lease, "drift": self.drift, "pauseS": self.pause},
+            "keepers": list(self.voters),
+            "lease": {"s": self.lease_s, "drift": self.drift, "pauseS": self.pause_s},
             "settings": self.settings,
         }
 
@@ -241,17 +241,17 @@
         settings = self._read_settings()
         return SettingsDocument(
             version=data["version"],
-            after=data["after"],
+            previous=data["after"],
             note=data.get("note", ""),
             fleet=data["fleet"],
             members=tuple(members),
-            keepers=tuple(voters),
-            lease=LEASE_S.read(lease),
+            voters=tuple(voters),
+            lease_s=LEASE_S.read(lease),
             drift=LEASE_DRIFT.read(lease),
-            pause=LEASE_PAUSE_S.read(lease),
+            pause_s=LEASE_PAUSE_S.read(lease),
             settings=settings,
             digest=data.get("digest") or document_digest(data),
-            trial=canary,
+            canary=canary,
         )
 
     def _load(self) -> dict[str, Any]:
@@ -307,7 +307,7 @@
         return members
 
     def _read_voters(self, members: list[int]) -> list[int]:
-        voters = self.data.get("keepers", members[:KEEPERS])
+        voters = self.data.get("keepers", members[:DEFAULT_VOTER_COUNT])
         if not isinstance(voters, list) or not voters or not set(voters) <= set(members):
             self._fail("keepers", "a list of members")
         return voters
@@ -337,7 +337,7 @@
         settings = self.data.get("settings")
         if not isinstance(settings, dict):
             self._fail("settings", "an object")
-        for name in OWN:
+        for name in PER_PROXY_SETTINGS:
             if name in settings:
                 self._fail(f"settings.{name}", "nothing here: it is each proxy's own")
         self._check_settings(settings)
@@ -390,17 +390,17 @@
 
 def _header_errors(before: SettingsDocument, after: SettingsDocument) -> list[str]:
     errors = []
-    if after.after != before.version:
-        errors.append(f"after: {after.after} is not the version in force, {before.version}")
+    if after.previous != before.version:
+        errors.append(f"after: {after.previous} is not the version in force, {before.version}")
     if after.version <= before.version:
         errors.append(f"version: {after.version} is not over {before.version}")
     if after.fleet != before.fleet:
         errors.append(f"fleet: {after.fleet!r} is not {before.fleet!r}")
     if len(set(before.members) ^ set(after.members)) > 1:
         errors.append("members: one at a time may come or go")
-    if len(set(before.keepers) ^ set(after.keepers)) > 2:
+    if len(set(before.voters) ^ set(after.voters)) > 2:
         errors.append("keepers: one at a time may be exchanged")
-    if (after.lease, after.drift, after.pause) != (before.lease, before.drift, before.pause):
+    if (after.lease_s, after.drift, after.pause_s) != (before.lease_s, before.drift, before.pause_s):
         errors.append("lease: takes a restart of all")
     return errors
 
@@ -417,7 +417,7 @@
     ]
     errors += [
         f"methods.{method['name']}: nothing would be left in between: widen its places in a version before"
-        for method in settings_compatibility.both(before, after)["methods"]
+        for method in settings_compatibility.combine_settings(before, after)["methods"]
         if settings_compatibility.has_no_place(method)
     ]
     return errors
--- a/calicofall/fleet/settings_fields.py
+++ b/calicofall/fleet/settings_fields.py
@@ -15,7 +15,7 @@
 NO_PLACE = "\0nowhere"  # as a kind of cache: one that no cache has
 EFFECTS = ("pure", "token", "side_effect")  # from what may run again most to least
 GROUPS = ("all", "zone", "cell")  # where a deduplicated write may run again, from most to least
-MODULE_EFFECTS = ("retriable", "deduped", "non-retriable")  # EFFECTS in the words of normalized settings
+NORMALIZED_EFFECTS = ("retriable", "deduped", "non-retriable")  # EFFECTS in the words of normalized settings
 PLACE_FIELDS = ("kindsOpen", "failureDomainsOnly")  # by which a method is restricted to some endpoints
 
 # What `keeps` may promise of a method, and the fields that a later version must not restrict then.
@@ -115,7 +115,7 @@
 NAMED_PARTS = {"methods": METHOD_FIELDS, "realms": TENANT_FIELDS}  # lists of objects with a name
 PLAIN_PARTS = {"caps": CAP_FIELDS, "rules": RULE_FIELDS}  # objects
 
-ORDERS = {"effect": EFFECTS, "group": GROUPS, "repeats": MODULE_EFFECTS}  # of words, by field
+ORDERS = {"effect": EFFECTS, "group": GROUPS, "repeats": NORMALIZED_EFFECTS}  # of words, by field
 
 
 def _intersection(name: str, older: list[Any], newer: list[Any]) -> list[Any]:
--- a/calicofall/proxy/configuration_sync.py
+++ b/calicofall/proxy/configuration_sync.py
@@ -17,7 +17,7 @@
 
 from calicofall.config.startup import parse_startup_settings
 from calicofall.fleet import settings_compatibility, settings_document
-from calicofall.fleet.canary import LOOK, Canary, CanaryReport, Counts
+from calicofall.fleet.canary import OBSERVATION_INTERVAL_S, Canary, CanaryReport, RequestCounts
 from calicofall.fleet.configuration_agreement import AgreementMessage, ConfigurationAgreement, LeaseStatus
 from calicofall.fleet.settings_document import SettingsDocument
 from calicofall.proxy.discovery import Discovery
@@ -81,7 +81,7 @@
         send: Callable[[int, AgreementMessage], None],
         on_settings: Callable[[dict[str, Any]], None],
         on_members: Callable[[frozenset[int]], None],
-        read_counts: Callable[[], Counts],
+        read_counts: Callable[[], RequestCounts],
     ) -> None:
         self.loop = loop
         self.me = me
@@ -92,7 +92,7 @@
         self.read_counts = read_counts
         self.documents = {first.version: first}
         self.agreement = ConfigurationAgreement(
-            me, incarnation, loop.time(), first.lease, first.drift, random
+            me, incarnation, loop.time(), first.lease_s, first.drift, random
         )
         self.watch = DocumentWatch(
             loop,
@@ -112,7 +112,7 @@
         self.canary_document = first  # of the version that is tried here, while one is
         self.refused: dict[int, str] = {}  # versions that were not taken, and why
         self.timer: asyncio.TimerHandle | None = None
-        self.agreement.heard(loop.time(), first.terms)
+        self.agreement.on_document(loop.time(), first.configuration_version)
         self.refresh()
 
     def start(self) -> None:
@@ -127,42 +127,44 @@
         messages, next_at = self.agreement.wake(self.loop.time())
         for member, message in messages:
             self.send(member, message)
-        self.timer = self.loop.call_at(min(next_at, self.loop.time() + LOOK), self.wake)
-        if self.canary.look(self.loop.time(), self.read_counts()):
+        self.timer = self.loop.call_at(min(next_at, self.loop.time() + OBSERVATION_INTERVAL_S), self.wake)
+        if self.canary.observe(self.loop.time(), self.read_counts()):
             self.finish_canary()
         self.refresh()
 
     def on_message(self, message: AgreementMessage) -> None:
         """Takes a peer's message, and answers a question."""
         now = self.loop.time()
-        if message.asks:
-            self.send(message.sender, self.agreement.asked(now, message))
+        if message.is_request:
+            self.send(message.sender, self.agreement.on_request(now, message))
         else:
-            self.agreement.answered(now, message)
+            self.agreement.on_response(now, message)
         # A lease that goes on is looked at where it is used, and in each round.
         if not self.lease_status.leased or self.agreement_state() != self.last_seen_state:
             self.refresh()
 
     def agreement_state(self) -> AgreementState:
         """What the lease status rests on now, beside time."""
-        return AgreementState(self.agreement.known, self.agreement.effect, self.agreement.proved)
+        return AgreementState(
+            self.agreement.highest_known, self.agreement.effective_version, self.agreement.confirmed
+        )
 
     def on_document(self, line: bytes) -> None:
         """Takes what the source has sent: a document, or something that is none."""
         try:
             document = settings_document.parse_document(line)
-            predecessor = self.documents.get(document.after)
+            predecessor = self.documents.get(document.previous)
             reasons = (
                 settings_document.succession_errors(predecessor, document) if predecessor is not None else []
             )
         except settings_document.InvalidDocument as error:
             log.warning("settings refused", extra={"reason": str(error)})
             return
-        if document.trial is not None:
+        if document.canary is not None:
             self.begin_canary(document, reasons)
         elif reasons:
             self._refuse(document, reasons[0], "settings refused")
-        elif self.agreement.heard(self.loop.time(), document.terms):
+        elif self.agreement.on_document(self.loop.time(), document.configuration_version):
             self.documents[document.version] = document
             self.watch.version = document.version
             log.info("settings heard", extra={"version": document.version, "note": document.note or None})
@@ -179,30 +181,32 @@
             document: The version, with its plan.
             reasons: Why it can't follow the version before it; empty if it can.
         """
-        if self.canary.cut("another trial"):
+        if self.canary.abort("another trial"):
             self.finish_canary()
-        plan = document.trial
+        plan = document.canary
         if plan is None or self.me not in plan.members:
             return
-        if document.after not in self.documents:
-            reasons = [f"after: {document.after} is not the version in force"]
-        elif self.lease_status != LeaseStatus((document.after,), True):
+        if document.previous not in self.documents:
+            reasons = [f"after: {document.previous} is not the version in force"]
+        elif self.lease_status != LeaseStatus((document.previous,), True):
             reasons = reasons or ["the version before it is not in effect here"]
         if reasons:
             self._refuse(document, reasons[0], "trial refused")
             return
         self.refused.pop(document.version, None)
         self.canary_document = document
-        self.canary.begin(self.loop.time(), document.version, plan.span, plan.worse, self.read_counts())
+        self.canary.begin(
+            self.loop.time(), document.version, plan.duration_s, plan.max_increase, self.read_counts()
+        )
         log.info(
             "trial",
-            extra={"version": document.version, "for_s": plan.span, "note": document.note or None},
+            extra={"version": document.version, "for_s": plan.duration_s, "note": document.note or None},
         )
         self.apply_effective_settings()
 
     def finish_canary(self) -> None:
         """Reports on a canary that has ended, and applies what was in effect before it."""
-        report = self.canary.told
+        report = self.canary.report
         if report is not None:
             _log_canary_report(report)
         self.apply_effective_settings()
@@ -218,14 +222,14 @@
         """Applies what may be acted on now, where it differs: after each message, and before each send."""
         now = self.loop.time()
         self.last_seen_state = self.agreement_state()
-        status = self.agreement.standing(now)
+        status = self.agreement.lease_status(now)
         self.valid_until = self.agreement.leased_until(now) if status.leased else float("inf")
         if status == self.lease_status and self.settings is not None:
             return
         previous = self.lease_status
         self.lease_status = status
         # Without this, a canary would go on at a proxy that can't tell whether the version before it holds.
-        if self.canary.cut("another version" if status.leased else "no lease"):
+        if self.canary.abort("another version" if status.leased else "no lease"):
             self.finish_canary()
         _log_lease_status(status, previous)
         self._drop_documents_before(min(status.versions, default=0))
@@ -241,11 +245,11 @@
         """What all versions that may be in effect allow, with the canary's if one is tried here."""
         first, *rest = [self.documents[version].settings for version in self.lease_status.versions]
         for settings in rest:
-            first = settings_compatibility.both(first, settings)
+            first = settings_compatibility.combine_settings(first, settings)
         if not self.lease_status.leased:
-            return settings_compatibility.lapsed(first)
-        if self.canary.trying:
-            return settings_compatibility.both(first, self.canary_document.settings)
+            return settings_compatibility.restrict_without_lease(first)
+        if self.canary.is_trying:
+            return settings_compatibility.combine_settings(first, self.canary_document.settings)
         return first
 
     def refresh_if_due(self) -> None:
@@ -264,25 +268,25 @@
         held = ",".join(map(str, sorted(self.documents)))
         return [
             f"settings.me:{self.me}",
-            f"settings.in_effect:{self.agreement.effect}",
+            f"settings.in_effect:{self.agreement.effective_version}",
             f"settings.held:{held}",
-            f"settings.known:{self.agreement.known}",
+            f"settings.known:{self.agreement.highest_known}",
             f"settings.leased:{int(self.lease_status.leased)}",
             f"settings.lease_left_s:{left_s if self.lease_status.leased else 0.0:.2f}",
-            f"settings.bound_s:{latest.bound:.2f}",
+            f"settings.bound_s:{latest.supersession_bound_s:.2f}",
             f"settings.digest:{latest.digest}",
             *self._canary_lines(),
             *(f"settings.refused:{version} {why}" for version, why in sorted(self.refused.items())),
         ]
 
     def _canary_lines(self) -> list[str]:
-        report = self.canary.told
+        report = self.canary.report
         if report is None:
             return []
         return [
-            f"settings.trial:{report.version} {report.word} method={report.method or '-'} "
-            f"not_completed={report.part:.3f} before={report.before:.3f} of={report.of} "
-            f"why={report.why or '-'}"
+            f"settings.trial:{report.version} {report.state} method={report.method or '-'} "
+            f"not_completed={report.failed_fraction:.3f} before={report.baseline_failed_fraction:.3f} "
+            f"of={report.request_count} why={report.reason or '-'}"
         ]
 
     def close(self) -> None:
@@ -327,11 +331,11 @@
         "trial over",
         extra={
             "version": report.version,
-            "verdict": report.word,
-            "why": report.why or None,
+            "verdict": report.state,
+            "why": report.reason or None,
             "method": report.method or None,
-            "not_completed": round(report.part, 3),
-            "before": round(report.before, 3),
-            "of": report.of,
+            "not_completed": round(report.failed_fraction, 3),
+            "before": round(report.baseline_failed_fraction, 3),
+            "of": report.request_count,
         },
     )
--- a/calicofall/proxy/gossip_transport.py
+++ b/calicofall/proxy/gossip_transport.py
@@ -15,7 +15,7 @@
 
 from calicofall.fleet.configuration_agreement import AgreementMessage
 from calicofall.fleet.hot_keys import KeyCountMessage
-from calicofall.fleet.list_freshness import GAP, ListDigestMessage, ListFreshness
+from calicofall.fleet.list_freshness import ROUND_INTERVAL_S, ListDigestMessage, ListFreshness
 from calicofall.fleet.membership import Membership, MembershipProbe
 from calicofall.fleet.outlier_consensus import EvidenceMessage
 from calicofall.fleet.quota_leases import QuotaLeaseMessage
@@ -92,18 +92,18 @@
     def tell_list_digest(self) -> None:
         """Tells a few peers which list is acted on here; names those whose list differs for long, once."""
         now = self.loop.time()
-        peers, digest = self.list_freshness.tell(now, self.membership.away())
+        peers, digest = self.list_freshness.begin_round(now, self.membership.away_members())
         for peer in peers:
             self.send(peer, digest)
         self._reopen_watch_if_behind(now)
-        if self.list_freshness.news(now):
+        if self.list_freshness.claim_difference_report(now):
             self._log_differing_list(now, digest.index)
-        self.list_timer = self.loop.call_later(GAP, self.tell_list_digest)
+        self.list_timer = self.loop.call_later(ROUND_INTERVAL_S, self.tell_list_digest)
 
     def _reopen_watch_if_behind(self, now: float) -> None:
         if not self.has_list():
             return  # it waits for the list already
-        part = self.list_freshness.behind(now)
+        part = self.list_freshness.claim_poll(now)
         if part is None:
             return
         log.info(
@@ -113,7 +113,7 @@
         self.reopen_watch(part)
 
     def _log_differing_list(self, now: float, index: int) -> None:
-        peer, other, since = self.list_freshness.differing(now)[0]
+        peer, other, since = self.list_freshness.differing_peers(now)[0]
         log.warning(
             "lists differ",
             extra={"index": index, "peer": peer, "its_index": other.index, "for_s": round(since, 1)},
@@ -124,8 +124,8 @@
         probes, next_at = self.membership.wake(self.loop.time())
         for peer, message in probes:
             self.send(peer, message)
-        if self.membership.news():
-            away = sorted(self.membership.away())
+        if self.membership.take_away_changed():
+            away = sorted(self.membership.away_members())
             first = ",".join(map(str, away[:MAX_MEMBERS_LOGGED]))
             log.info("members away", extra={"count": len(away), "who": first or None})
         self.probe_timer = self.loop.call_at(next_at, self.probe)
@@ -189,19 +189,19 @@
                 self._on_startup_message(message)
 
     def _on_membership_probe(self, probe: MembershipProbe) -> None:
-        for peer, answer in self.membership.heard(self.loop.time(), probe):
+        for peer, answer in self.membership.on_message(self.loop.time(), probe):
             self.send(peer, answer)
 
     def _on_list_digest(self, digest: ListDigestMessage) -> None:
         now = self.loop.time()
-        if digest.asks:
-            self.send(digest.sender, self.list_freshness.word(now, False, digest.mark))
-        self.list_freshness.told(now, digest)
+        if digest.is_request:
+            self.send(digest.sender, self.list_freshness.make_message(now, False, digest.correlation_id))
+        self.list_freshness.on_message(now, digest)
 
     def _on_startup_message(self, message: peer_messages.StartupMessage) -> None:
         if message.asks:
-            self.send(message.sender, self._startup_message(False, message.mark))
-        elif self.contention.told(message.mark, message.sender, message.served):
+            self.send(message.sender, self._startup_message(False, message.correlation_id))
+        elif self.contention.told(message.correlation_id, message.sender, message.served):
             self.finish_estimate()
         else:
             self.count_dropped("unasked")
@@ -226,11 +226,11 @@
         return [
             f"list.index:{lists.index}",
             f"list.digest:{lists.digest:012x}",
-            f"list.age_s:{now - lists.at:.1f}",
-            f"list.peers_heard:{len(lists.heard)}",
+            f"list.age_s:{now - lists.changed_at:.1f}",
+            f"list.peers_heard:{len(lists.last_messages)}",
             *(
                 f"list.differs:{peer} index={other.index} digest={other.digest:012x} for_s={since:.1f}"
-                for peer, other, since in lists.differing(now)
+                for peer, other, since in lists.differing_peers(now)
             ),
         ]
 
--- a/calicofall/proxy/outlier_reports.py
+++ b/calicofall/proxy/outlier_reports.py
@@ -14,17 +14,17 @@
 
 from calicofall.fleet.hot_keys import HotKeyDetector, KeyCountMessage
 from calicofall.fleet.outlier_consensus import (
-    CROWDED,
-    FINE,
-    HOLD,
-    LARGE,
-    SICK,
-    SIZE,
-    SLOW,
-    WAY,
+    DECISION_LIFETIME_S,
+    HEALTHY,
+    LARGE_ANSWER_MIN_BYTES,
+    OVERLOADED,
+    SLOW_FOR_LARGE_ANSWERS,
+    SLOW_LATENCY_FACTOR,
+    UNHEALTHY,
+    UNREACHABLE_FROM_ZONE,
+    AnswerSizeStatistics,
     EvidenceMessage,
     OutlierConsensus,
-    Sizes,
 )
 from calicofall.routing.outlier_detection import CONSENSUS_FRACTION
 from calicofall.routing.request import Request
@@ -76,7 +76,7 @@
         self.live_members = live_members
         self.now = now_ms
         self.consensus = OutlierConsensus(me, incarnation, name_digest(zone), random)
-        self.answer_sizes = Sizes()
+        self.answer_sizes = AnswerSizeStatistics()
         self.random = random
         self.hot_keys = hot_keys
         # By endpoint, until when on the loop's clock.
@@ -99,7 +99,7 @@
         this the endpoint would be ejected for all requests.
         """
         usual_ms = self.router.baseline_latency(method)
-        if usual_ms and size >= SIZE and name in self.slow_for_large:
+        if usual_ms and size >= LARGE_ANSWER_MIN_BYTES and name in self.slow_for_large:
             return min(latency_ms, usual_ms)
         return latency_ms
 
@@ -113,7 +113,7 @@
             not request.write
             and name in self.slow_for_large
             and request.key is not None
-            and self.answer_sizes.keys.get(request.key, False)
+            and self.answer_sizes.large_by_key.get(request.key, False)
             and self.random.random() >= CONSENSUS_FRACTION
             and self.router.has_alternative(self.now(), request)
         )
@@ -121,7 +121,7 @@
     def on_request(self, key: int | None) -> None:
         """Counts the key of a request that has come."""
         if self.hot_keys is not None and key is not None:
-            self.hot_keys.saw(self.loop.time(), key)
+            self.hot_keys.record_request(self.loop.time(), key)
 
     def on_result(self, name: str, request: Request, outcome: str, latency_ms: float, size: int) -> None:
         """Takes how an attempt ended at an endpoint, as evidence; the router knows it by now."""
@@ -129,19 +129,19 @@
         large_part = 0.0  # of this attempt that counts as evidence on large answers
         if outcome == "completed" and not request.write:
             self._add_large_answer(now, name, request, latency_ms, size)
-            if size >= SIZE:
+            if size >= LARGE_ANSWER_MIN_BYTES:
                 return
         elif outcome == "timeout" and not request.write:
             large_part = self._add_large_timeout(now, name, request)
         if outcome == "completed":
             usual_ms = self.router.baseline_latency(request.name)
-            well = not usual_ms or latency_ms <= SLOW * usual_ms
+            well = not usual_ms or latency_ms <= SLOW_LATENCY_FACTOR * usual_ms
         elif outcome in ADVERSE_OUTCOMES:
             well = False
         else:
             return
         if large_part < 1.0:
-            self.consensus.saw(now, name_digest(name), well, 1.0 - large_part)
+            self.consensus.record_result(now, name_digest(name), well, 1.0 - large_part)
         # An ejected endpoint is held down by each bad result. Without this, the router would take its
         # time-outs for the latency of cache misses, and admit more and more requests to it.
         if not well and self.ejected_on_evidence.get(name, 0.0) > now:
@@ -150,18 +150,18 @@
     def _add_large_answer(
         self, now: float, name: str, request: Request, latency_ms: float, size: int
     ) -> None:
-        fine = self.answer_sizes.saw(now, request.key, latency_ms, size)
+        fine = self.answer_sizes.record_answer(now, request.key, latency_ms, size)
         if fine is not None:
-            self.consensus.saw(now, name_digest(name + LARGE_ANSWERS_SUFFIX), fine)
+            self.consensus.record_result(now, name_digest(name + LARGE_ANSWERS_SUFFIX), fine)
 
     def _add_large_timeout(self, now: float, name: str, request: Request) -> float:
         """Adds a time-out to the evidence on large answers, by the part that such answers have in it.
 
         Without this, an endpoint would be blamed as a whole for the large answers for which alone it is slow.
         """
-        large_part = self.answer_sizes.part(now, request.key)
+        large_part = self.answer_sizes.large_probability(now, request.key)
         if large_part:
-            self.consensus.saw(now, name_digest(name + LARGE_ANSWERS_SUFFIX), False, large_part)
+            self.consensus.record_result(now, name_digest(name + LARGE_ANSWERS_SUFFIX), False, large_part)
         return large_part
 
     def wake(self) -> None:
@@ -183,7 +183,7 @@
             name_digest(name + suffix): name for name in listed for suffix in ("", LARGE_ANSWERS_SUFFIX)
         }
         large_answers = [name_digest(name + LARGE_ANSWERS_SUFFIX) for name in listed]
-        self.consensus.keep(set(self.names_by_digest), large_answers)
+        self.consensus.set_endpoints(set(self.names_by_digest), large_answers)
 
     def _ask_for_evidence(self, now: float) -> float:
         degraded = {name_digest(name) for name in self.router.degraded_endpoints(self.now())}
@@ -194,16 +194,16 @@
         return next_at
 
     def _act_on_decisions(self, now: float) -> None:
-        for digest, decision in self.consensus.news():
+        for digest, decision in self.consensus.take_new_decisions():
             name = self.names_by_digest[digest]
             act = self.act_on_decision if digest == name_digest(name) else self.act_on_large_answers
-            act(now, name, decision.what, decision.sick, decision.votes)
+            act(now, name, decision.health, decision.unhealthy_votes, decision.votes)
 
     def _find_hot_keys(self, now: float, hot_keys: HotKeyDetector) -> float:
         messages, next_at = hot_keys.wake(now, self.live_members())
         for peer, message in messages:
             self.send(peer, message)
-        for key, rate_per_s in hot_keys.news():
+        for key, rate_per_s in hot_keys.take_new_findings():
             log.info("popular key", extra={"key": f"{key:x}", "per_s": round(rate_per_s)})
         return next_at
 
@@ -218,39 +218,43 @@
         """Ejects or reinstates an endpoint by a decision on all its answers."""
         if name in self.pinned_endpoints:
             return
-        if what == FINE and name in self.router.degraded_endpoints(self.now()):
+        if what == HEALTHY and name in self.router.degraded_endpoints(self.now()):
             self.ejected_on_evidence.pop(name, None)
             self.router.reinstate(self.now(), name)
             self.reinstated_count += 1
-        elif what in (SICK, WAY):
+        elif what in (UNHEALTHY, UNREACHABLE_FROM_ZONE):
             # Bounded: without this, proxies that are all misled would eject most of the endpoints.
             if not self.has_room(name, self.ejected_on_evidence):
                 return
             # It is slow for more than large answers, so it no longer takes a place among those.
             self.slow_for_large.pop(name, None)
-            self.ejected_on_evidence[name] = now + HOLD
+            self.ejected_on_evidence[name] = now + DECISION_LIFETIME_S
             self.router.eject_on_evidence(self.now(), name)
             self.ejected_count += 1
-        elif what != CROWDED:
+        elif what != OVERLOADED:
             return
         self.log_decision(now, name, what, sick, votes)
 
     def act_on_large_answers(self, now: float, name: str, what: str, sick: int, votes: int) -> None:
         """Notes an endpoint as slow for large answers alone, by a decision on those."""
-        well, badly = self.consensus.seen(now, name_digest(name))
+        well, badly = self.consensus.recent_results(now, name_digest(name))
         # Without this, an endpoint that is sick altogether would take a place here before the decision on
         # all its answers, and one that is slow for large answers alone would find none.
         healthy_otherwise = name not in self.ejected_on_evidence and badly <= well
-        if name in self.pinned_endpoints or what not in (SICK, WAY) or not healthy_otherwise:
+        if (
+            name in self.pinned_endpoints
+            or what not in (UNHEALTHY, UNREACHABLE_FROM_ZONE)
+            or not healthy_otherwise
+        ):
             return
         if self.has_room(name, self.slow_for_large):
-            self.slow_for_large[name] = now + HOLD
+            self.slow_for_large[name] = now + DECISION_LIFETIME_S
             self.ejected_count += 1
-            self.log_decision(now, name, LARGE, sick, votes)
+            self.log_decision(now, name, SLOW_FOR_LARGE_ANSWERS, sick, votes)
 
     def has_room(self, name: str, table: dict[str, float]) -> bool:
         """Whether this endpoint may be in the table, too; counts where it may not."""
-        free = name in table or self.consensus.room(len(self.names_by_digest) // 2, len(table))
+        free = name in table or self.consensus.may_eject(len(self.names_by_digest) // 2, len(table))
         self.no_room_count += not free
         return free
 
@@ -264,9 +268,9 @@
         """Takes a peer's message, and answers a question."""
         answer: EvidenceMessage | KeyCountMessage | None = None
         if isinstance(message, EvidenceMessage):
-            answer = self.consensus.heard(self.loop.time(), message)
+            answer = self.consensus.on_message(self.loop.time(), message)
         elif self.hot_keys is not None:
-            answer = self.hot_keys.heard(self.loop.time(), message)
+            answer = self.hot_keys.on_message(self.loop.time(), message)
         if answer is not None:
             self.send(message.sender, answer)
 
@@ -274,8 +278,8 @@
         """The metrics that operators read."""
         now = self.loop.time()
         return [
-            f"witness.asked:{self.consensus.asked}",
-            f"witness.verdicts:{self.consensus.made}",
+            f"witness.asked:{self.consensus.query_messages_sent}",
+            f"witness.verdicts:{self.consensus.decisions_made}",
             f"witness.lifted:{self.reinstated_count}",
             f"witness.set_aside:{self.ejected_count}",
             f"witness.no_room:{self.no_room_count}",
@@ -285,9 +289,10 @@
 
     def _decision_lines(self, now: float) -> list[str]:
         return [
-            f"verdict.{self.display_name(digest)}:{decision.what} sick={decision.sick} of={decision.votes} "
-            f"by={','.join(map(str, decision.by)) or '-'} ends_s={decision.until - now:.1f}"
-            for digest, decision in sorted(self.consensus.verdicts.items())
+            f"verdict.{self.display_name(digest)}:{decision.health} sick={decision.unhealthy_votes} "
+            f"of={decision.votes} by={','.join(map(str, decision.unhealthy_voters)) or '-'} "
+            f"ends_s={decision.expires_at - now:.1f}"
+            for digest, decision in sorted(self.consensus.decisions.items())
             if digest in self.names_by_digest
         ]
 
@@ -295,11 +300,11 @@
         if self.hot_keys is None:
             return []
         return [
-            f"popular.asked:{self.hot_keys.asked}",
-            f"popular.found:{self.hot_keys.found}",
+            f"popular.asked:{self.hot_keys.query_messages_sent}",
+            f"popular.found:{self.hot_keys.findings_reported}",
             *(
                 f"popular.{key:x}:per_s={rate_per_s:.0f} ends_s={until - now:.1f}"
-                for key, (until, rate_per_s) in self.hot_keys.keys.items()
+                for key, (until, rate_per_s) in self.hot_keys.hot_keys.items()
             ),
         ]
 
--- a/calicofall/proxy/quota_enforcement.py
+++ b/calicofall/proxy/quota_enforcement.py
@@ -14,7 +14,13 @@
 from typing import Any
 
 from calicofall.fleet.in_flight_quota import InFlightQuota
-from calicofall.fleet.quota_leases import ROUND, UNITS, QuotaLeaseMessage, QuotaLeases, RateQuotaLeases
+from calicofall.fleet.quota_leases import (
+    ROUND_INTERVAL_S,
+    UNITS,
+    QuotaLeaseMessage,
+    QuotaLeases,
+    RateQuotaLeases,
+)
 from calicofall.fleet.rate_slots import RateSlots
 from calicofall.routing.sliding_window import SlidingWindow
 from calicofall.startup.peer_messages import name_digest
@@ -169,9 +175,12 @@
         """Applies the shares that are held now."""
         now = self.loop.time()
         shares = {
-            self.names[digest]: leases.part(now) / leases.total for digest, leases in self.leases.items()
+            self.names[digest]: leases.usable_units(now) / leases.total
+            for digest, leases in self.leases.items()
         }
-        self.valid_until = min((leases.until(now) for leases in self.leases.values()), default=float("inf"))
+        self.valid_until = min(
+            (leases.next_change_at(now) for leases in self.leases.values()), default=float("inf")
+        )
         cold_rate_per_s = self.warm_rate_per_s
         if cold_rate_per_s:
             cold_rate_per_s *= shares[WARM_UP_LIMIT]
@@ -179,8 +188,8 @@
             leases = self.leases[name_digest(IN_FLIGHT_LIMIT)]
             # Counts only units that are held for as long as a request may take: without this, requests would
             # outlive the lease under which they began.
-            units = leases.part(now, self.longest_request_s)
-            self.in_flight_quota.part = self.in_flight_limit * units / UNITS
+            units = leases.usable_units(now, self.longest_request_s)
+            self.in_flight_quota.share = self.in_flight_limit * units / UNITS
         tenant_rates = {
             tenant: rate * shares[f"{RATE_LIMIT_PREFIX}{tenant}"] for tenant, rate in self.rates.items()
         }
@@ -190,10 +199,10 @@
         """Tells the leases what is wanted, sends what they ask for, and schedules the next round."""
         now = self.loop.time()
         demand = self.demand_per_s(now)
-        next_at = now + ROUND
+        next_at = now + ROUND_INTERVAL_S
         live_members = self.live_members()
         for digest, leases in self.leases.items():
-            leases.want(self.wanted_units(now, self.names[digest], demand))
+            leases.set_demand(self.wanted_units(now, self.names[digest], demand))
             messages, wake_at = leases.wake(now, live_members)
             for peer, message in messages:
                 self.send(peer, message)
@@ -217,7 +226,7 @@
         quota = self.in_flight_quota
         if quota is None:
             return 0  # there is no such limit
-        return int(UNITS * max(quota.wanted(now), quota.most()) / self.in_flight_limit)
+        return int(UNITS * max(quota.demand(now), quota.max_in_flight()) / self.in_flight_limit)
 
     def _wanted_warm_up_units(self, demand: dict[str | None, float]) -> int:
         if not self.warm_rate_per_s:
@@ -229,14 +238,14 @@
 
     def on_message(self, message: QuotaLeaseMessage) -> None:
         """Takes a peer's message; ignores one on a limit that isn't known here (yet, or any more)."""
-        leases = self.leases.get(message.limit)
+        leases = self.leases.get(message.limit_id)
         if leases is None:
             return
-        if self.names[message.limit] == IN_FLIGHT_LIMIT:
+        if self.names[message.limit_id] == IN_FLIGHT_LIMIT:
             # Without this, units would be lent that requests in flight hold already.
             wanted = self.wanted_units(self.loop.time(), IN_FLIGHT_LIMIT, {})
-            leases.want(max(leases.wants, wanted))
-        answer = leases.heard(self.loop.time(), message)
+            leases.set_demand(max(leases.demand_units, wanted))
+        answer = leases.on_message(self.loop.time(), message)
         self.refresh()  # less is used here before the answer that lends it leaves
         if answer is not None:
             self.send(message.sender, answer)
@@ -245,7 +254,7 @@
         """The metrics that operators read: one line for each limit."""
         now = self.loop.time()
         return [
-            f"limit.{self.names[digest]}:{leases.line(now)}{' pinned' if leases.pinned else ''}"
+            f"limit.{self.names[digest]}:{leases.format_line(now)}{' pinned' if leases.pinned else ''}"
             for digest, leases in self.leases.items()
         ]
 
--- a/calicofall/proxy/server.py
+++ b/calicofall/proxy/server.py
@@ -33,7 +33,7 @@
 from calicofall.fleet.hot_keys import HotKeyDetector
 from calicofall.fleet.in_flight_quota import InFlightQuota
 from calicofall.fleet.rate_slots import OriginFetchSlots, RateSlots
-from calicofall.fleet.settings_document import OWN
+from calicofall.fleet.settings_document import PER_PROXY_SETTINGS
 from calicofall.invariants import check_invariant, violation_counts
 from calicofall.proxy import configuration_sync, resp
 from calicofall.proxy.client_connection import PendingReply
@@ -108,7 +108,7 @@
             time.time() * 1000.0 - loop.time() * 1000.0
         )  # one clock for lists and timers
         document = configuration_sync.initial_document(node)
-        own = {name: value for name, value in node["settings"].items() if name in OWN}
+        own = {name: value for name, value in node["settings"].items() if name in PER_PROXY_SETTINGS}
         settings, lines = settings_on_sockets(
             node["settings"] if document is None else document.settings | own
         )
@@ -253,7 +253,10 @@
                 else {}
             )
             if self.router.origin_slots is not None:
-                lent[ORIGIN_FETCH_SLOTS] = self.router.origin_slots.turns, self.router.origin_slots.wanted
+                lent[ORIGIN_FETCH_SLOTS] = (
+                    self.router.origin_slots.rate_slots,
+                    self.router.origin_slots.wanted_slots,
+                )
             self.quotas = QuotaEnforcement(
                 loop,
                 me,
@@ -265,7 +268,7 @@
                 deployment["rules"],
                 lambda: len(self.upstreams.endpoint_names),
                 self.gossip.send,
-                self.gossip.membership.there,
+                self.gossip.membership.alive_members,
                 self.apply_quota_shares,
                 lent,
                 self.upstreams.in_flight_quota,
@@ -285,7 +288,7 @@
                 self.router,
                 lambda: self.upstreams.endpoint_names,
                 self.gossip.send,
-                self.gossip.membership.there,
+                self.gossip.membership.alive_members,
                 self.now_ms,
                 bears and HotKeyDetector(me, life, proxies, bears, loop.time(), chance),
             )
@@ -317,7 +320,7 @@
                 chance,
                 self.gossip.send,
                 self.apply_settings,
-                self.gossip.membership.belong,
+                self.gossip.membership.set_members,
                 self.metrics.finished_by_method,
             )
             self.gossip.on_agreement = self.configuration_sync.on_message
@@ -388,7 +391,7 @@
         self.router.on_endpoint_list(self.now_ms(), kind, index, entries)
         self.upstreams.on_endpoint_list(kind, entries, addresses)
         if self.gossip is not None and kind != "cached":
-            self.gossip.list_freshness.own(self.loop.time(), index, self.upstreams.states())
+            self.gossip.list_freshness.set_own_list(self.loop.time(), index, self.upstreams.states())
 
     def on_discovery_failure(self) -> None:
         """A call to discovery failed."""
@@ -834,7 +837,7 @@
         if self.gossip is not None:
             membership = self.gossip.membership
             sources["lists"] = self.gossip.format_lines
-            sources["members"] = lambda: membership.lines(self.loop.time())
+            sources["members"] = lambda: membership.format_lines(self.loop.time())
         if self.quotas is not None:
             sources["limits"] = self.quotas.format_lines
         if self.outliers is not None:
--- a/calicofall/proxy/upstream.py
+++ b/calicofall/proxy/upstream.py
@@ -148,7 +148,7 @@
         self.entries = {name: entry for name, entry in self.entries.items() if name in self.endpoint_names}
         self.connection_quotas.keep(self.endpoint_names)
         if self.in_flight_quota is not None:
-            self.in_flight_quota.keep(self.endpoint_names)
+            self.in_flight_quota.retain_endpoints(self.endpoint_names)
         self.share_budget()
         for pool in self.pools.values():
             pool.open_ahead()
@@ -199,7 +199,7 @@
             self.loop.call_soon(self.finish, command, "unconnected")
             return command
         if self.in_flight_quota is not None:
-            if not self.in_flight_quota.begin(self.loop.time(), name):
+            if not self.in_flight_quota.try_begin(self.loop.time(), name):
                 self.loop.call_soon(self.finish, command, "held")
                 return command
             command.in_flight_endpoint = name
--- a/calicofall/recording/recording_router.py
+++ b/calicofall/recording/recording_router.py
@@ -25,9 +25,9 @@
         self._slots = slots
         self._times: list[float] = []
 
-    def due(self, at: float) -> float:
+    def due_at(self, at: float) -> float:
         """When the next slot is due (s); see RateSlots."""
-        due_at = self._slots.due(at)
+        due_at = self._slots.due_at(at)
         self._times.append(due_at)
         return due_at
 
--- a/calicofall/recording/replayer.py
+++ b/calicofall/recording/replayer.py
@@ -30,19 +30,19 @@
 
     def __init__(self) -> None:
         self._times: deque[float] = deque()
-        self.wishes = self  # unmet demand, which is not counted here
+        self.demand = self  # unmet demand, which is not counted here
 
     def set_times(self, times: Iterable[float]) -> None:
         """Sets the times that the next calls return (s)."""
         self._times = deque(times)
 
-    def due(self, _at: float) -> float:
+    def due_at(self, _at: float) -> float:
         """The next recorded time (s); 0 where the router asks more often than it did."""
         return self._times.popleft() if self._times else 0.0
 
-    take = due
+    take = due_at
 
-    def back(self, _at: float, _slot: float) -> None:
+    def return_slot(self, _at: float, _slot: float) -> None:
         """A slot was not needed: nothing to do."""
 
     def add(self, _at: float) -> None:
--- a/calicofall/routing/router.py
+++ b/calicofall/routing/router.py
@@ -184,14 +184,14 @@
     def _look_up_slot(self, now: float) -> None:
         """Before each decision: from when on the next request that may need the origin may be sent."""
         if self.origin_slots is not None:
-            due = self.origin_slots.due(self._slot_time_s(now))
+            due = self.origin_slots.due_at(self._slot_time_s(now))
             self.policy.set_next_origin_slot(due * 1000.0 + self.slot_clock_offset_ms)
 
     def _give_slots_back(self, now: float, attempt: Attempt) -> None:
         """An attempt did not ask the origin after all."""
         if self.origin_slots is not None:
             for slot in attempt.rate_slots:
-                self.origin_slots.back(self._slot_time_s(now), slot)
+                self.origin_slots.return_slot(self._slot_time_s(now), slot)
 
     def _count_slots(
         self, now: float, request: Request, decision: Decision, origin_slots: OriginFetchSlots
@@ -205,7 +205,7 @@
                 request.attempts[-1].rate_slots = slots
                 self._look_up_slot(now)
         elif self.policy.is_before_origin_slot(now) and now - request.arrived_at < SLACK:
-            origin_slots.wishes.add(at)
+            origin_slots.demand.add(at)
 
     # Settings and what other parts of the proxy know
 
@@ -239,8 +239,10 @@
             alias = aliases[former]
             if alias not in methods:
                 before = self.policy.settings.methods[former]
-                after = methods.get(request.name) or before | {"zones_open": [settings_compatibility.CLOSED]}
-                methods[alias] = settings_compatibility.between(before, after) | {"name": alias}
+                after = methods.get(request.name) or before | {
+                    "zones_open": [settings_compatibility.CLOSED_PLACE]
+                }
+                methods[alias] = settings_compatibility.combine_methods(before, after) | {"name": alias}
                 self.policy.latency.alias(former, alias)
             request.method = alias
         self.policy.apply_settings(now, deployment, methods)
--- a/calicofall/startup/connection_quotas.py
+++ b/calicofall/startup/connection_quotas.py
@@ -13,7 +13,7 @@
 from math import inf
 from random import Random
 
-from calicofall.fleet.rate_slots import SLOTS, RateSlots, UnmetDemand
+from calicofall.fleet.rate_slots import SLOTS_PER_PROXY, RateSlots, SlotDemand
 from calicofall.startup.time_slots import TimeSlots
 
 MAX_WAIT_FRACTION = 0.8  # of what is left of the latency objective, that a request waits for a handshake slot
@@ -61,7 +61,7 @@
         # warms up three requests a second in all, whatever it could do.
         self.bears = (capacity_per_s or 0.0) / 1000.0 / self._proxies / (overload_factor or 1.0)
         self.slots: dict[str, HandshakeSlots] = {}
-        self._demand: dict[str, UnmetDemand] = {}  # handshakes, were there no limit
+        self._demand: dict[str, SlotDemand] = {}  # handshakes, were there no limit
 
     def begin(self, name: str, offset: int, now: float, wall: float, needed: bool = True) -> float:
         """Takes the next handshake slot of an endpoint and returns its time, in seconds.
@@ -78,11 +78,13 @@
         slots = self.slots.get(name)
         if slots is None:
             slots = HandshakeSlots(TimeSlots(self._number, self._proxies, self.handshakes, now, wall, offset))
-        slot = self.turns.next(slots.time_slots, now, max(now, slots.taken_at_s + slots.time_slots.gap / 2.0))
+        slot = self.turns.next_slot_at(
+            slots.time_slots, now, max(now, slots.taken_at_s + slots.time_slots.gap / 2.0)
+        )
         slots.taken_at_s = slot
         self.slots[name] = slots
         if needed:
-            self._demand.setdefault(name, UnmetDemand()).add(now)
+            self._demand.setdefault(name, SlotDemand()).add(now)
         return slot
 
     def back(self, name: str, slot: float) -> None:
@@ -94,14 +96,14 @@
     def lapsed(self, name: str, slot: float, now: float) -> bool:
         """Whether a slot may no longer be used: it is over, or leased to another proxy by now."""
         slots = self.slots.get(name)
-        return slots is not None and not self.turns.mine(slots.time_slots, slot, now)
+        return slots is not None and not self.turns.may_use(slots.time_slots, slot, now)
 
     def wanted(self, now: float) -> float:
         """Slots of a round that would be used at the busiest endpoint, were there no limit."""
         if self.handshakes is None:
             return 0.0
-        rate = max((demand.rate(now) for demand in self._demand.values()), default=0.0)
-        return rate * SLOTS * self._proxies / self.handshakes
+        rate = max((demand.rate_per_s(now) for demand in self._demand.values()), default=0.0)
+        return rate * SLOTS_PER_PROXY * self._proxies / self.handshakes
 
     def keep(self, names: set[str]) -> None:
         """Forgets all endpoints but these."""
--- a/calicofall/startup/peer_messages.py
+++ b/calicofall/startup/peer_messages.py
@@ -26,7 +26,7 @@
 DIGEST_BYTES = 8
 NAME_DIGEST_BYTES = 6
 
-Say = AgreementMessage  # the name by which proxy/gossip_transport.py knows it
+ConfigurationMessage = AgreementMessage  # the name by which proxy/gossip_transport.py knows it
 
 
 class InvalidMessage(Exception):  # noqa: N818 - other parts use this name
@@ -39,7 +39,7 @@
     asks: bool  # a question, else an answer
     sender: int  # the number of the proxy that sends it
     life: int  # the incarnation of the sender
-    mark: int  # the sample that the question belongs to
+    correlation_id: int  # the sample that the question belongs to
     served: bool  # whether the sender has a live watch
 
 
@@ -95,7 +95,7 @@
     if not _has_valid_fields(message) or message.sender >= proxies:
         raise InvalidMessage("form")
     if isinstance(message, MembershipProbe):
-        return message._replace(rumours=tuple(message.rumours))
+        return message._replace(suspicions=tuple(message.suspicions))
     decoded: PeerMessage = message
     return decoded
 
--- a/calicofall/testbed/agreement_simulation.py
+++ b/calicofall/testbed/agreement_simulation.py
@@ -127,16 +127,16 @@
             if self.chance.random() < LATEST_ONLY_PROBABILITY:
                 latest = max(latest, self.source - 1)  # as a watch does that broke off and begins anew
             for version in range(latest + 1, self.source + 1):
-                agreement.heard(node.clock(self.now), self.documents[version])
+                agreement.on_document(node.clock(self.now), self.documents[version])
         self.at(self.now + POLL_INTERVAL_S, self.poll, node, life)
 
     def deliver(self, node: SimulatedNode, message: AgreementMessage) -> None:
         """Hands a message to a proxy, and sends what it responds."""
         now = node.clock(self.now)
-        if message.asks:
-            self.send(node.me, message.sender, agreement_of(node).asked(now, message))
+        if message.is_request:
+            self.send(node.me, message.sender, agreement_of(node).on_request(now, message))
         else:
-            agreement_of(node).answered(now, message)
+            agreement_of(node).on_response(now, message)
 
     def woken_first(self) -> None:
         """Checks what a proxy that was stopped would do before it has seen what came meanwhile."""
@@ -177,7 +177,7 @@
 
     def lease_status(self, node: SimulatedNode) -> LeaseStatus:
         """What a proxy may act on now."""
-        return agreement_of(node).standing(node.clock(self.now))
+        return agreement_of(node).lease_status(node.clock(self.now))
 
     @property
     def bound(self) -> float:
@@ -199,7 +199,7 @@
         for version, document in self.documents.items():
             quorum = majority(document.voters)
             instances = [agreement_of(self.fleet[voter]) for voter in document.voters]
-            if sum(instance.known >= version for instance in instances) < quorum:
+            if sum(instance.highest_known >= version for instance in instances) < quorum:
                 self.quorum_held_at.pop(version, None)  # voters have forgotten it
             elif sum(version in instance.held_versions for instance in instances) >= quorum:
                 self.quorum_held_at.setdefault(version, self.now)
--- a/calicofall/testbed/hot_key_simulation.py
+++ b/calicofall/testbed/hot_key_simulation.py
@@ -50,7 +50,7 @@
     def deliver(self, node: SimulatedNode, message: KeyCountMessage) -> None:
         """Hands a message to a node's instance, and sends its answer."""
         instance: HotKeyDetector = node.instance
-        answer = instance.heard(node.clock(self.now), message)
+        answer = instance.on_message(node.clock(self.now), message)
         if answer is not None:
             self.send(node.me, message.sender, answer)
 
@@ -59,7 +59,7 @@
         instance: HotKeyDetector = node.instance
         others = [other for other in range(len(self.fleet)) if other != node.me]
         out = instance.wake(node.clock(self.now), others)
-        for key in instance.keys:
+        for key in instance.hot_keys:
             self.first_found_at.setdefault(key, {}).setdefault(node.me, self.now)
         return out
 
@@ -68,7 +68,7 @@
         if not self.alive(node, incarnation, self.arrive, node, incarnation):
             return
         instance: HotKeyDetector = node.instance
-        instance.saw(node.clock(self.now), self.draw_key())
+        instance.record_request(node.clock(self.now), self.draw_key())
         self.at(self.now + self.chance.expovariate(self.rate), self.arrive, node, incarnation)
 
     def draw_key(self) -> int:
@@ -84,4 +84,4 @@
     def finding_fraction(self, key: int) -> float:
         """The fraction of the proxies that hold a key to be hot now."""
         instances: list[HotKeyDetector] = [node.instance for node in self.fleet]
-        return sum(key in instance.keys for instance in instances) / len(instances)
+        return sum(key in instance.hot_keys for instance in instances) / len(instances)
--- a/calicofall/testbed/membership_simulation.py
+++ b/calicofall/testbed/membership_simulation.py
@@ -32,14 +32,14 @@
     def deliver(self, node: SimulatedNode, message: MembershipProbe) -> None:
         """Hands a message to a node's instance, and sends what it returns."""
         instance: Membership = node.instance
-        for to, answer in instance.heard(node.clock(self.now), message):
+        for to, answer in instance.on_message(node.clock(self.now), message):
             self.send(node.me, to, answer)
 
     def away_views(self) -> list[frozenset[int]]:
         """Whom each node that runs holds to be away."""
         running = [node for node in self.fleet if node.me not in self.dead and not node.stopped]
         instances: list[Membership] = [node.instance for node in running]
-        return [instance.away() for instance in instances]
+        return [instance.away_members() for instance in instances]
 
     def time_until_views_equal(self, away: frozenset[int], limit: float, part: float = 1.0) -> float | None:
         """How long (s) until `part` of the running nodes hold exactly these to be away; None: not in time."""
--- a/calicofall/testbed/outlier_simulation.py
+++ b/calicofall/testbed/outlier_simulation.py
@@ -8,10 +8,10 @@
 from random import Random
 
 from calicofall.fleet.outlier_consensus import (
-    FINE,
-    HOLD,
-    SICK,
-    WAY,
+    DECISION_LIFETIME_S,
+    HEALTHY,
+    UNHEALTHY,
+    UNREACHABLE_FROM_ZONE,
     EjectionDecision,
     EvidenceMessage,
     OutlierConsensus,
@@ -70,13 +70,13 @@
     def build(self, node: SimulatedNode, incarnation: int, chance: Random) -> OutlierConsensus:
         """A new instance for a node."""
         instance = self.make(node.me, incarnation, self.zone(node.me), chance)
-        instance.keep(set(range(self.caches)))
+        instance.set_endpoints(set(range(self.caches)))
         return instance
 
     def deliver(self, node: SimulatedNode, message: EvidenceMessage) -> None:
         """Hands a message to a node's instance, and sends its answer."""
         instance: OutlierConsensus = node.instance
-        answer = instance.heard(node.clock(self.now), message)
+        answer = instance.on_message(node.clock(self.now), message)
         if answer is not None:
             self.send(node.me, message.sender, answer)
 
@@ -104,7 +104,7 @@
         messages, next_at = instance.wake(now, others, self.avoided(me))
         for to, message in messages:
             self.send(me, to, message)
-        for endpoint, decision in instance.news():
+        for endpoint, decision in instance.take_new_decisions():
             self.act_on_decision(node, endpoint, decision)
         delay_s = max(MIN_WAKE_INTERVAL_S, (next_at - now) / node.rate)
         self.at(self.now + delay_s, self.wake, node, incarnation)
@@ -113,13 +113,13 @@
         """Ejects or reinstates an endpoint at a proxy, as proxy/outlier_reports.py does."""
         me = node.me
         instance: OutlierConsensus = node.instance
-        if decision.what == FINE:
+        if decision.health == HEALTHY:
             self.own_ejections[me].pop(endpoint, None)
             self.peer_ejections[me].pop(endpoint, None)
-        elif decision.what in (SICK, WAY):
+        elif decision.health in (UNHEALTHY, UNREACHABLE_FROM_ZONE):
             ejected = self.ejected_by_peers(me)
-            if endpoint in ejected or instance.room(self.caches, len(ejected)):
-                self.peer_ejections[me][endpoint] = self.now + HOLD
+            if endpoint in ejected or instance.may_eject(self.caches, len(ejected)):
+                self.peer_ejections[me][endpoint] = self.now + DECISION_LIFETIME_S
 
     def is_unhealthy(self, me: int, endpoint: int) -> bool:
         """Whether an endpoint is truly unhealthy to a proxy."""
@@ -147,7 +147,7 @@
         is_unhealthy = self.is_unhealthy(node.me, endpoint)
         failure_fraction = UNHEALTHY_FAILURE_FRACTION if is_unhealthy else self.false_failure_fraction
         succeeded = self.chance.random() >= failure_fraction
-        instance.saw(node.clock(self.now), endpoint, succeeded)
+        instance.record_result(node.clock(self.now), endpoint, succeeded)
         if not succeeded:
             self.own_ejections[node.me][endpoint] = self.now + OWN_EJECTION_S
 
--- a/calicofall/testbed/quota_simulation.py
+++ b/calicofall/testbed/quota_simulation.py
@@ -48,14 +48,14 @@
     def tick_node(self, node: SimulatedNode) -> tuple[list[tuple[int, QuotaLeaseMessage]], float]:
         """Tells an instance the demand, and calls it."""
         instance: QuotaLeases = node.instance
-        instance.want(self.demand_units(node))
+        instance.set_demand(self.demand_units(node))
         others = [me for me in range(len(self.fleet)) if me != node.me]
         return instance.wake(node.clock(self.now), others)
 
     def deliver(self, node: SimulatedNode, message: QuotaLeaseMessage) -> None:
         """Hands a message to a node's instance, and sends its answer."""
         instance: QuotaLeases = node.instance
-        answer = instance.heard(node.clock(self.now), message)
+        answer = instance.on_message(node.clock(self.now), message)
         if answer is not None:
             self.send(node.me, message.sender, answer)
 
@@ -69,7 +69,7 @@
         for node in self.fleet:
             if node.me not in self.dead and not node.stopped:
                 instance: QuotaLeases = node.instance
-                usable[node.me] = instance.part(node.clock(self.now))
+                usable[node.me] = instance.usable_units(node.clock(self.now))
         return usable
 
     def observe_periodically(self) -> None:
--- a/calicofall/testbed/rate_slot_simulation.py
+++ b/calicofall/testbed/rate_slot_simulation.py
@@ -71,10 +71,10 @@
         instance: RateSlots = node.instance
         now = node.clock(self.now)
         grid = self.time_slots[node.me]
-        if slot_at is not None and self.wants[node.me] and instance.mine(grid, slot_at, now):
+        if slot_at is not None and self.wants[node.me] and instance.may_use(grid, slot_at, now):
             self.taken_at.append(self.now)
             self.takers_by_slot[slot_index(grid, slot_at)] += 1
-        next_slot_at = instance.next(
+        next_slot_at = instance.next_slot_at(
             grid, now, now if slot_at is None else max(now, slot_at + grid.gap / 2.0)
         )
         wait_s = max(0.0, next_slot_at - now) + SHORTEST_WAIT_S
@@ -107,7 +107,7 @@
         """A new instance for a node, with its slots at the origin."""
         instance = super().build(node, incarnation, chance)
         origin_slots = OriginFetchSlots(instance, self.room, node.clock(self.now), 0.0)
-        origin_slots.grid = self.time_slots[node.me]
+        origin_slots.time_slots = self.time_slots[node.me]
         self.origin_slots[node.me] = origin_slots
         return instance
 
@@ -117,16 +117,16 @@
             return
         now = node.clock(self.now)
         origin_slots = self.origin_slots[node.me]
-        while self.wants[node.me] and origin_slots.due(now) <= now:
+        while self.wants[node.me] and origin_slots.due_at(now) <= now:
             slot_at = origin_slots.take(now)
             if self.chance.random() < self.returned_fraction:
                 self.at(self.now + RETURN_DELAY_S, self.return_slot, node, incarnation, slot_at)
             else:
                 self.taken_at.append(self.now)
-                self.takers_by_slot[slot_index(origin_slots.grid, slot_at)] += 1
+                self.takers_by_slot[slot_index(origin_slots.time_slots, slot_at)] += 1
         self.at(self.now + FETCH_INTERVAL_S, self.take_slots, node, incarnation)
 
     def return_slot(self, node: SimulatedNode, incarnation: int, slot_at: float) -> None:
         """A slot that was used wasn't needed."""
         if self.alive(node, incarnation, self.return_slot, node, incarnation, slot_at):
-            self.origin_slots[node.me].back(node.clock(self.now), slot_at)
+            self.origin_slots[node.me].return_slot(node.clock(self.now), slot_at)
--- a/calicofall/testbed/runner.py
+++ b/calicofall/testbed/runner.py
@@ -18,7 +18,7 @@
 
 import orjson
 
-from calicofall.fleet.settings_document import KEEPERS, OWN, seal_document
+from calicofall.fleet.settings_document import DEFAULT_VOTER_COUNT, PER_PROXY_SETTINGS, seal_document
 from calicofall.testbed.checker import Verdict, check_history
 from calicofall.testbed.clients import Clients
 from calicofall.testbed.emulated_servers import (
@@ -185,7 +185,7 @@
         self, version: int, zones: str, bad: bool = False, trial: dict | None = None
     ) -> dict[str, Any]:
         """The settings as a document in which the non-retriable method is bound to these zones."""
-        settings = {name: value for name, value in self.settings(0).items() if name not in OWN}
+        settings = {name: value for name, value in self.settings(0).items() if name not in PER_PROXY_SETTINGS}
         order = {"failureDomainsOnly": list(zones)} | ({"hardDeadlineNs": 1_000_000} if bad else {})
         methods = [
             method | (order if method["name"] == "order" else {"keeps": ["place", "repeats"]})
@@ -199,7 +199,7 @@
                 "note": f"order in {zones}",
                 "fleet": self.drill.name,
                 "members": members,
-                "keepers": members[:KEEPERS],
+                "keepers": members[:DEFAULT_VOTER_COUNT],
                 "lease": {"s": self.drill.fleet.lease_s, "drift": DRIFT, "pauseS": PAUSE},
                 "settings": settings | {"methods": methods},
             }
--- a/tests/rogues.py
+++ b/tests/rogues.py
@@ -109,7 +109,7 @@
 
     until = ConfigurationAgreement.leased_until
     ConfigurationAgreement.leased_until = lambda self, now: max(
-        until(self, now), now + 100.0 if self.effect else 0.0
+        until(self, now), now + 100.0 if self.effective_version else 0.0
     )
     configuration_sync.ConfigurationSync.refresh_if_due = lambda self: None
 
@@ -118,7 +118,9 @@
     """Goes on with a version that fails."""
     from calicofall.fleet.canary import Canary
 
-    Canary.look = lambda self, now, counts: not self.seen and self.seen.append((now, counts))
+    Canary.observe = lambda self, now, counts: not self.count_history and self.count_history.append(
+        (now, counts)
+    )
 
 
 def tries_unasked() -> None:
@@ -127,7 +129,7 @@
 
     attempt = configuration_sync.ConfigurationSync.begin_canary
     configuration_sync.ConfigurationSync.begin_canary = lambda self, one, reasons: attempt(
-        self, one._replace(trial=one.trial._replace(members=(self.me,), span=20.0)), reasons
+        self, one._replace(canary=one.canary._replace(members=(self.me,), duration_s=20.0)), reasons
     )
 
 
@@ -135,11 +137,11 @@
     """Says of every cache that all goes badly there, and asks about them all the time."""
     from calicofall.fleet.outlier_consensus import OutlierConsensus
 
-    word = OutlierConsensus._word
-    OutlierConsensus._word = lambda self, now, *rest: word(self, now, *rest)._replace(
-        well=0, badly=10_000, age=3_600_000
+    word = OutlierConsensus._make_message
+    OutlierConsensus._make_message = lambda self, now, *rest: word(self, now, *rest)._replace(
+        successes=0, failures=10_000, last_success_age_ms=3_600_000
     )
-    OutlierConsensus._open = lambda self, now, doubted: sorted(
+    OutlierConsensus._endpoints_to_query = lambda self, now, doubted: sorted(
         self.listed, key=lambda cache: self.chance.random()
     )
 
@@ -148,17 +150,17 @@
     """What may need the origin goes as it comes."""
     from calicofall.fleet.rate_slots import OriginFetchSlots
 
-    OriginFetchSlots.due = lambda self, now: now
+    OriginFetchSlots.due_at = lambda self, now: now
 
 
 def sends_beyond_its_part() -> None:
     """RPCs out at a cache, as many as come."""
     from calicofall.fleet.in_flight_quota import InFlightQuota
 
-    begin = InFlightQuota.begin
-    InFlightQuota.begin = (
+    begin = InFlightQuota.try_begin
+    InFlightQuota.try_begin = (
         lambda self, now, name: begin(self, now, name)
-        or bool(setattr(self.caches[name], "out", self.caches[name].out + 1))
+        or bool(setattr(self.endpoints[name], "in_flight", self.endpoints[name].in_flight + 1))
         or True
     )
 
--- a/tests/settings_support.py
+++ b/tests/settings_support.py
@@ -11,7 +11,7 @@
 
 # The tests' settings, as a document holds them.
 COMMON_SETTINGS: dict[str, Any] = {
-    name: value for name, value in SETTINGS.items() if name not in settings_document.OWN
+    name: value for name, value in SETTINGS.items() if name not in settings_document.PER_PROXY_SETTINGS
 } | {
     "kinds": ["box", "disk"],
     "failureDomains": ["a", "b", "c"],
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -37,23 +37,25 @@
 
     last_status = LeaseStatus((), False)
 
-    def standing(self, now: float) -> LeaseStatus:
+    def lease_status(self, now: float) -> LeaseStatus:
         return self.last_status
 
     def wake(self, now: float) -> tuple[list[tuple[int, AgreementMessage]], float]:
         messages = super().wake(now)
-        self.last_status = super().standing(now)
+        self.last_status = super().lease_status(now)
         return messages
 
 
 class AcknowledgementsKeptOverRestart(ConfigurationAgreement):
     """A peer's acknowledgement that is kept over the peer's restart."""
 
-    def answered(self, now: float, message: AgreementMessage) -> bool:
+    def on_response(self, now: float, message: AgreementMessage) -> bool:
         peer = self.peers.get(message.sender)
         if peer is not None:
-            message = message._replace(life=peer.incarnation, held=max(message.held, peer.highest_held))
-        return super().answered(now, message)
+            message = message._replace(
+                life=peer.incarnation, highest_held=max(message.highest_held, peer.highest_held)
+            )
+        return super().on_response(now, message)
 
 
 class MajorityOfFormerVoters(ConfigurationAgreement):
@@ -61,7 +63,7 @@
 
     def with_former_voters(self, action: Callable[[], Result]) -> Result:
         held = self.held_versions
-        in_effect = held.get(self.effect)
+        in_effect = held.get(self.effective_version)
         if in_effect is not None:
             self.held_versions = {
                 version: document._replace(voters=in_effect.voters) for version, document in held.items()
@@ -89,27 +91,27 @@
 class LeaseFromResponse(ConfigurationAgreement):
     """A lease that runs from the response instead of the request."""
 
-    def answered(self, now: float, message: AgreementMessage) -> bool:
-        if message.mark in self.requested_at:
-            self.requested_at[message.mark] = now
-        return super().answered(now, message)
+    def on_response(self, now: float, message: AgreementMessage) -> bool:
+        if message.correlation_id in self.requested_at:
+            self.requested_at[message.correlation_id] = now
+        return super().on_response(now, message)
 
 
 class ReplayedResponsesAccepted(ConfigurationAgreement):
     """Responses count that belong to no request."""
 
-    def answered(self, now: float, message: AgreementMessage) -> bool:
-        self.requested_at.setdefault(message.mark, now)
-        return super().answered(now, message)
+    def on_response(self, now: float, message: AgreementMessage) -> bool:
+        self.requested_at.setdefault(message.correlation_id, now)
+        return super().on_response(now, message)
 
 
 class MissedVersionIgnored(ConfigurationAgreement):
     """One that missed a version between two goes on with these."""
 
-    def standing(self, now: float) -> LeaseStatus:
+    def lease_status(self, now: float) -> LeaseStatus:
         return LeaseStatus(
             tuple(sorted(self.held_versions)),
-            self.effect in self.held_versions and now < self.leased_until(now),
+            self.effective_version in self.held_versions and now < self.leased_until(now),
         )
 
 
@@ -172,10 +174,17 @@
     simulation = agreed_simulation(3, make)
     node = simulation.fleet[0]
     replayed = [
-        agreement_of(simulation.fleet[peer]).asked(
+        agreement_of(simulation.fleet[peer]).on_request(
             1e9,
             AgreementMessage(
-                asks=True, sender=0, life=0, mark=4711 + peer, known=1, held=1, effect=1, ready=True
+                is_request=True,
+                sender=0,
+                life=0,
+                correlation_id=4711 + peer,
+                highest_known=1,
+                highest_held=1,
+                effective_version=1,
+                grants_leases=True,
             ),
         )
         for peer in (1, 2)
@@ -185,7 +194,7 @@
     for step in range(200):
         simulation.run(5.0 + step * 0.05)
         for message in replayed:
-            agreement_of(node).answered(node.clock(simulation.now), message)
+            agreement_of(node).on_response(node.clock(simulation.now), message)
     return simulation
 
 
@@ -198,7 +207,7 @@
     simulation.run(11.0)
     simulation.cut({(-1, 1), (1, -1), (-1, 2), (2, -1)})
     simulation.publish()
-    agreement_of(node).heard(node.clock(simulation.now), simulation.documents[3])
+    agreement_of(node).on_document(node.clock(simulation.now), simulation.documents[3])
     simulation.run(13.0)
     return simulation
 
@@ -239,7 +248,7 @@
     simulation.cut({(-1, 1), (1, -1)})
     simulation.publish()
     simulation.run(12.0)
-    agreement_of(node).heard(node.clock(simulation.now), simulation.documents[2])
+    agreement_of(node).on_document(node.clock(simulation.now), simulation.documents[2])
     simulation.run(16.0)
     return simulation
 
@@ -368,10 +377,10 @@
     from_itself = AgreementMessage(False, 0, 9, agreement_of(node).request_id, 9, 9, 9, True)
 
     for message in (to_unknown_request, from_itself):
-        assert not agreement_of(node).answered(now, message)
+        assert not agreement_of(node).on_response(now, message)
 
-    assert agreement_of(node).standing(now) == ((1,), True)
-    assert agreement_of(node).known == 1
+    assert agreement_of(node).lease_status(now) == ((1,), True)
+    assert agreement_of(node).highest_known == 1
 
 
 def test_grant_duration_follows_the_formula() -> None:
--- a/tests/test_canary.py
+++ b/tests/test_canary.py
@@ -20,8 +20,8 @@
     Canary,
     CanaryReport,
     CanaryState,
-    Counts,
-    bounds,
+    RequestCounts,
+    wilson_interval,
 )
 from calicofall.fleet.configuration_agreement import LeaseStatus
 from calicofall.fleet.settings_document import InvalidDocument, parse_document, seal_document
@@ -42,8 +42,8 @@
 
 def report_of(canary: Canary) -> CanaryReport:
     """What is said of a canary that was started."""
-    assert canary.told is not None
-    return canary.told
+    assert canary.report is not None
+    return canary.report
 
 
 def run_canary(parts: dict[str, tuple[float, float]], rate: float = 10.0) -> CanaryResult:
@@ -55,7 +55,7 @@
     """
     canary = Canary()
 
-    def counts(second: int) -> Counts:
+    def counts(second: int) -> RequestCounts:
         before = min(second, BASELINE_END)
         during = max(0, second - BASELINE_END)
         return {
@@ -64,11 +64,11 @@
         }
 
     for second in range(BASELINE_END):
-        assert not canary.look(float(second), counts(second))
+        assert not canary.observe(float(second), counts(second))
     start = float(BASELINE_END)
     canary.begin(start, 7, DURATION_S, TOLERATED_INCREASE, counts(BASELINE_END))
     for second in range(BASELINE_END + 1, RUN_END):
-        if canary.look(float(second), counts(second)):
+        if canary.observe(float(second), counts(second)):
             return CanaryResult(canary, float(second))
     return CanaryResult(canary, None)
 
@@ -87,8 +87,8 @@
 def test_canary_without_an_increase_is_well_at_its_end(parts: dict[str, tuple[float, float]]) -> None:
     result = run_canary(parts)
 
-    assert report_of(result.canary).word == CanaryState.WELL
-    assert not result.canary.trying
+    assert report_of(result.canary).state == CanaryState.WELL
+    assert not result.canary.is_trying
     assert result.over_at == 40.0
 
 
@@ -104,50 +104,50 @@
     result = run_canary(parts)
 
     report = report_of(result.canary)
-    assert report.word == CanaryState.FAILING
-    assert not result.canary.trying
+    assert report.state == CanaryState.FAILING
+    assert not result.canary.is_trying
     assert report.method == list(parts)[-1]
-    assert report.part > report.before
+    assert report.failed_fraction > report.baseline_failed_fraction
     assert result.over_at is not None
     assert result.over_at <= 30.0 + 5.0
 
 
 def test_canary_with_too_few_requests_is_unmeasured() -> None:
-    assert report_of(run_canary({"read": (0.0, 0.0)}, rate=1.0).canary).word == CanaryState.UNMEASURED
+    assert report_of(run_canary({"read": (0.0, 0.0)}, rate=1.0).canary).state == CanaryState.UNMEASURED
 
 
 def test_canary_with_too_few_requests_of_one_method_is_unmeasured_and_names_it() -> None:
     canary = Canary()
-    canary.look(0.0, {"read": (0, 0), "order": (0, 0)})
+    canary.observe(0.0, {"read": (0, 0), "order": (0, 0)})
     canary.begin(30.0, 7, 10.0, 0.05, {"read": (300, 0), "order": (100, 0)})
 
-    assert canary.look(40.0, {"read": (400, 0), "order": (105, 0)})
+    assert canary.observe(40.0, {"read": (400, 0), "order": (105, 0)})
 
-    assert report_of(canary).word == CanaryState.UNMEASURED
-    assert report_of(canary).why == f"under {MIN_REQUESTS} RPCs of order"
+    assert report_of(canary).state == CanaryState.UNMEASURED
+    assert report_of(canary).reason == f"under {MIN_REQUESTS} RPCs of order"
 
 
 def test_canary_after_a_failing_one_is_not_compared_with_its_failures() -> None:
     canary = run_canary({"read": (0.0, 0.7)}).canary
     first = report_of(canary)
-    assert first.word == CanaryState.FAILING
-    ended = 300 + first.of
-    failed = round(first.part * first.of)
+    assert first.state == CanaryState.FAILING
+    ended = 300 + first.request_count
+    failed = round(first.failed_fraction * first.request_count)
 
     canary.begin(45.0, 8, 10.0, 0.05, {"read": (ended + 50, failed)})
 
-    assert canary.before == {"read": (350, 0)}
-    assert canary.look(50.0, {"read": (ended + 90, failed + 20)})
-    assert report_of(canary).word == CanaryState.FAILING
+    assert canary.baseline == {"read": (350, 0)}
+    assert canary.observe(50.0, {"read": (ended + 90, failed + 20)})
+    assert report_of(canary).state == CanaryState.FAILING
 
 
 def test_canary_with_nothing_before_it_is_unmeasured() -> None:
     canary = Canary()
     canary.begin(30.0, 7, 10.0, 0.05, {"read": (0, 0)})
 
-    assert canary.look(40.0, {"read": (100, 90)})
+    assert canary.observe(40.0, {"read": (100, 90)})
 
-    assert report_of(canary).word == CanaryState.UNMEASURED
+    assert report_of(canary).state == CanaryState.UNMEASURED
 
 
 @pytest.mark.parametrize(
@@ -158,24 +158,24 @@
     ],
 )
 def test_canary_with_an_increase_within_chance_is_well(part: tuple[float, float]) -> None:
-    assert report_of(run_canary({"read": part}).canary).word == CanaryState.WELL
+    assert report_of(run_canary({"read": part}).canary).state == CanaryState.WELL
 
 
 def test_baseline_after_many_looks_is_no_older_than_stated() -> None:
     canary = Canary()
 
     for second in range(200):
-        canary.look(float(second), {"read": (second, 0)})
+        canary.observe(float(second), {"read": (second, 0)})
 
-    assert canary.seen[0][0] >= 199.0 - BASELINE_S
-    assert len(canary.seen) <= BASELINE_S + 1
+    assert canary.count_history[0][0] >= 199.0 - BASELINE_S
+    assert len(canary.count_history) <= BASELINE_S + 1
 
 
 @given(st.integers(0, 500), st.integers(1, 500))
 def test_bounds_of_any_counts_contain_the_part(failed: int, of: int) -> None:
     part = min(failed, of) / of
 
-    low, high = bounds(min(failed, of), of)
+    low, high = wilson_interval(min(failed, of), of)
 
     assert -1e-9 <= low <= part + 1e-9
     assert part - 1e-9 <= high <= 1.0 + 1e-9
@@ -187,14 +187,14 @@
     ended = 0
     failed = 0
     states = []
-    canary.look(0.0, {"read": (ended, failed)})
+    canary.observe(0.0, {"read": (ended, failed)})
     canary.begin(0.5, 7, 10.0, 0.05, {"read": (ended, failed)})
 
     for second, (more, part) in enumerate(steps, 1):
         ended += more
         failed += round(more * part)
-        canary.look(float(second), {"read": (ended, failed)})
-        states.append(report_of(canary).word)
+        canary.observe(float(second), {"read": (ended, failed)})
+        states.append(report_of(canary).state)
 
     assert all(earlier in (later, CanaryState.TRYING) for earlier, later in pairwise(states))
     assert len(steps) < 11 or states[10] != CanaryState.TRYING
@@ -240,13 +240,13 @@
     assert deadline_of_order(desk) == 1.0
     assert desk.proxy.router.policy.settings.methods["read"]["gain"] == 9.0
     assert versions_of(desk).lease_status == LeaseStatus((1,), True)
-    assert versions_of(desk).agreement.known == 1
+    assert versions_of(desk).agreement.highest_known == 1
     assert (
         "settings.trial:2 trying method=- not_completed=0.000 before=0.000 of=0 why=-"
         in desk.proxy.handle_call("versions")
     )
     desk.go_on(6.0)  # without any requests
-    assert report_of(versions_of(desk).canary).word == CanaryState.UNMEASURED
+    assert report_of(versions_of(desk).canary).state == CanaryState.UNMEASURED
     assert deadline_of_order(desk) > 1.0
 
 
@@ -255,7 +255,7 @@
 
     tell_canary(desk, FAILING_CHANGE, members=(1, 2))
 
-    assert versions_of(desk).canary.told is None
+    assert versions_of(desk).canary.report is None
     assert deadline_of_order(desk) > 1.0
 
 
@@ -286,7 +286,7 @@
     desk.go_on(3.0, answers=False)
 
     assert not versions_of(desk).lease_status.leased
-    assert report_of(versions_of(desk).canary).why == "no lease"
+    assert report_of(versions_of(desk).canary).reason == "no lease"
 
 
 def test_canary_when_another_version_is_heard_ends_unmeasured() -> None:
@@ -295,7 +295,7 @@
 
     desk.publish(2)
 
-    assert report_of(versions_of(desk).canary).why == "another version"
+    assert report_of(versions_of(desk).canary).reason == "another version"
     assert deadline_of_order(desk) > 1.0
 
 
@@ -304,11 +304,11 @@
 
     tell_canary(desk, {"read": {"failureDomainsOnly": ["b"]}, "order": {"streaming": True}})
 
-    assert versions_of(desk).canary.told is None
+    assert versions_of(desk).canary.report is None
     assert "settings.refused:2" in desk.proxy.handle_call("versions")
     desk.go_on(3.0, answers=False)
     tell_canary(desk, FAILING_CHANGE)
-    assert versions_of(desk).canary.told is None
+    assert versions_of(desk).canary.report is None
     assert deadline_of_order(desk) > 1.0
 
 
@@ -374,12 +374,12 @@
     assert word in result.output, result.output
     assert b"POST /api/settings/trial" in received[0]
     assert len(received) == (2 if code == 0 else 1)
-    plan = parse_document(received[0].partition(b"\r\n\r\n")[2]).trial
+    plan = parse_document(received[0].partition(b"\r\n\r\n")[2]).canary
     assert plan is not None
     assert plan.members == (0,)
-    assert plan.span == 1.0
+    assert plan.duration_s == 1.0
     if code == 0:
-        assert parse_document(received[1].partition(b"\r\n\r\n")[2]).trial is None
+        assert parse_document(received[1].partition(b"\r\n\r\n")[2]).canary is None
 
 
 def test_publish_with_a_canary_after_another_was_published_first_is_halted(tmp_path: Path) -> None:
--- a/tests/test_hot_keys.py
+++ b/tests/test_hot_keys.py
@@ -40,7 +40,7 @@
     simulation.run(15.0)
     assert simulation.finding_fraction(1) > 0.95
     assert simulation.finding_fraction(2) == 0.0
-    asked = sum(one.instance.asked for one in simulation.fleet)
+    asked = sum(one.instance.query_messages_sent for one in simulation.fleet)
     assert asked / proxies / simulation.now <= 2 * 8 / 0.45
     simulation.key_fractions = {}
     simulation.run(simulation.now + 3 * COUNTING_WINDOW_S + HOT_LIFETIME_S)
@@ -87,50 +87,50 @@
 def test_key_with_demand_at_one_member_alone_is_not_hot() -> None:
     detectors = [HotKeyDetector(me, 1, 50, ENDPOINT_CAPACITY_PER_S, 0.0, Random(me)) for me in range(50)]
     for _ in range(400):
-        detectors[3].saw(1.0, 9)
+        detectors[3].record_request(1.0, 9)
     for _ in range(MIN_OWN_REQUESTS):
-        detectors[5].saw(1.0, 9)
+        detectors[5].record_request(1.0, 9)
     asks, _ = detectors[5].wake(2.0, [3, *range(10, 17)])
     assert len(asks) == 8
     for whom, word in asks:
-        detectors[5].heard(2.1, detectors[whom].heard(2.1, word))
+        detectors[5].on_message(2.1, detectors[whom].on_message(2.1, word))
     detectors[5].wake(2.2, [])
-    assert not detectors[5].keys
+    assert not detectors[5].hot_keys
     assert detectors[5].queries == {}
 
 
 def deliver_answers(one: HotKeyDetector, asks: list[tuple[int, KeyCountMessage]], *counts: int) -> None:
     for (whom, word), count in zip(asks, counts, strict=False):
-        one.heard(2.1, KeyCountMessage(False, whom, 1, word.mark, word.key, count, 1000))
+        one.on_message(2.1, KeyCountMessage(False, whom, 1, word.correlation_id, word.key, count, 1000))
 
 
 def test_key_with_too_few_valid_answers_is_not_hot() -> None:
     one = HotKeyDetector(0, 1, 100, ENDPOINT_CAPACITY_PER_S, 0.0, Random(1))
     for _ in range(MIN_OWN_REQUESTS):
-        one.saw(1.0, 9)
+        one.record_request(1.0, 9)
     assert one.wake(2.0, list(range(1, MIN_ANSWERS)))[0] == []
     asks, _ = one.wake(3.0, list(range(1, 9)))
     deliver_answers(one, asks[:2], MIN_SEEN_REQUESTS, MIN_SEEN_REQUESTS)
     deliver_answers(one, asks[:2], MIN_SEEN_REQUESTS, MIN_SEEN_REQUESTS)
-    one.heard(2.1, KeyCountMessage(False, asks[4][0], 1, asks[4][1].mark + 1, 9, 99, 1000))
-    one.heard(2.1, KeyCountMessage(False, 77, 1, asks[4][1].mark, 9, 99, 1000))
+    one.on_message(2.1, KeyCountMessage(False, asks[4][0], 1, asks[4][1].correlation_id + 1, 9, 99, 1000))
+    one.on_message(2.1, KeyCountMessage(False, 77, 1, asks[4][1].correlation_id, 9, 99, 1000))
     one.wake(9.0, [])
-    assert not one.keys
+    assert not one.hot_keys
     asks, _ = one.wake(12.0, list(range(1, 9)))
     deliver_answers(one, asks, *[MIN_SEEN_REQUESTS] * 8)
     one.wake(12.1, [])
-    assert list(one.keys) == [9]
+    assert list(one.hot_keys) == [9]
     one.wake(12.2 + HOT_LIFETIME_S, [])
-    assert not one.keys
+    assert not one.hot_keys
 
 
 def test_counted_keys_are_bounded() -> None:
     one = HotKeyDetector(0, 1, 100, ENDPOINT_CAPACITY_PER_S, 0.0, Random(1))
     for key in range(10 * MAX_COUNTED_KEYS):
-        one.saw(1.0, key)
+        one.record_request(1.0, key)
     assert len(one.counts[0]) == MAX_COUNTED_KEYS
-    one.saw(1.0 + COUNTING_WINDOW_S, 5)
-    one.saw(1.0 + 2 * COUNTING_WINDOW_S, 5)
+    one.record_request(1.0 + COUNTING_WINDOW_S, 5)
+    one.record_request(1.0 + 2 * COUNTING_WINDOW_S, 5)
     assert one.count(5) == 2
 
 
@@ -145,8 +145,8 @@
     witnesses.send = lambda peer, word: said.append((peer, word))
     witnesses.on_message(KeyCountMessage(True, 2, 9, 77, 7, 1, 1000))
     assert [(peer, word.requests) for peer, word in said] == [(2, 3)]
-    witnesses.hot_keys.keys[7] = HotKey(desk.loop.time() + 5.0, 250.0)
-    witnesses.hot_keys.fresh.append(7)
+    witnesses.hot_keys.hot_keys[7] = HotKey(desk.loop.time() + 5.0, 250.0)
+    witnesses.hot_keys.new_findings.append(7)
     with caplog.at_level("INFO", "calicofall"):
         witnesses.wake()
         witnesses.timer.cancel()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -6,7 +6,12 @@
 import pytest
 from helpers import SETTINGS, Desk, ask, fleet
 
-from calicofall.fleet.quota_leases import LENT_OF_RATES, ROUND, UNITS, QuotaLeaseMessage
+from calicofall.fleet.quota_leases import (
+    MAX_LENT_FRACTION_OF_RATES,
+    ROUND_INTERVAL_S,
+    UNITS,
+    QuotaLeaseMessage,
+)
 from calicofall.proxy.quota_enforcement import MAX_CLOCK_DRIFT, WARM_UP_LIMIT
 from calicofall.routing.policy import RoutingPolicy
 from calicofall.routing.tenant_quota import BURST_REQUESTS
@@ -55,15 +60,21 @@
             for peer, word in said:
                 self.limits.on_message(
                     QuotaLeaseMessage(
-                        False, peer, 40 + peer, word.mark, word.limit, word.units, word.question
+                        False,
+                        peer,
+                        40 + peer,
+                        word.correlation_id,
+                        word.limit_id,
+                        word.units,
+                        word.request_number,
                     )
                 )
-            self.loop.run(ROUND)
+            self.loop.run(ROUND_INTERVAL_S)
 
 
 def test_a_proxy_begins_with_what_a_former_life_cannot_have_lent_and_has_its_own_later() -> None:
     desk = Lending()
-    assert desk.quota() == pytest.approx(500.0 / 4 * (1.0 - LENT_OF_RATES), rel=1e-3)
+    assert desk.quota() == pytest.approx(500.0 / 4 * (1.0 - MAX_LENT_FRACTION_OF_RATES), rel=1e-3)
     desk.loop.run(3.0 * (1.0 + MAX_CLOCK_DRIFT) ** 2 + 0.01)
     desk.limits.refresh_if_due()
     assert desk.quota() == pytest.approx(500.0 / 4, rel=1e-3)
@@ -96,7 +107,7 @@
         desk.limits.count_request("acme")
         desk.loop.run(0.01)
         if number > 300:
-            told.append(desk.limits.leases[RATE].wants / UNITS * 500.0)
+            told.append(desk.limits.leases[RATE].demand_units / UNITS * 500.0)
     assert min(told) > 85.0 and max(told) < 115.0
 
 
@@ -166,7 +177,7 @@
         for _ in range(2):  # 400 a second
             me = chance.choice(here)
             policies[me].quotas.rates["acme"] = (
-                quota / 1000.0 * sums.fleet[me].instance.part(sums.fleet[me].clock(sums.now)) / UNITS
+                quota / 1000.0 * sums.fleet[me].instance.usable_units(sums.fleet[me].clock(sums.now)) / UNITS
             )
             within += policies[me].quotas.admit(sums.now * 1000.0, "acme")
     assert within <= quota * (span + 1.0) + 8 * BURST_REQUESTS
@@ -197,22 +208,24 @@
             for field in kind.__annotations__.values()
         ]
         word = kind(*values)._replace(sender=chance.randint(0, 5))
-        if chance.random() < 0.3 and hasattr(word, "mark"):  # a mark that is open here
+        if chance.random() < 0.3 and hasattr(word, "correlation_id"):  # a mark that is open here
             marks = [
-                *peers.membership.marks,
-                *limits.leases[RATE].asked,
+                *peers.membership.outstanding_probes,
+                *limits.leases[RATE].pending_requests,
                 *desk.proxy.outliers.consensus.queries,
             ]
-            word = word._replace(mark=chance.choice(marks)) if marks else word
+            word = word._replace(correlation_id=chance.choice(marks)) if marks else word
         peers.datagram_received(peer_messages.encode_message("shop", word), ("x", 1))
         if chance.random() < 0.1:
             limits.count_request(f"made up {chance.random()}")
             desk.loop.run(0.1)
     parts = limits.leases[RATE]
     assert (
-        parts.part(desk.loop.time()) <= UNITS and len(parts.lent) < 4096 and len(limits.request_windows) <= 2
+        parts.usable_units(desk.loop.time()) <= UNITS
+        and len(parts.lent_leases) < 4096
+        and len(limits.request_windows) <= 2
     )
-    assert len(peers.membership.tales) <= 64 and len(peers.membership.met) == 3
-    assert set(desk.proxy.outliers.consensus.askers) <= {
+    assert len(peers.membership.queued_suspicions) <= 64 and len(peers.membership.peers) == 3
+    assert set(desk.proxy.outliers.consensus.peer_queries) <= {
         peer_messages.name_digest(name) for name in ("c1", "c2", "c3")
     }
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -9,14 +9,14 @@
 
 from calicofall.fleet.list_freshness import (
     DIFFERENCE_REPORTED_AFTER_S,
-    GAP,
     PEER_FORGOTTEN_AFTER_S,
     PEERS_PER_ROUND,
     POLL_DELAY_S,
     REPOLL_AFTER_S,
+    ROUND_INTERVAL_S,
     ListDigestMessage,
     ListFreshness,
-    digest,
+    list_digest,
 )
 from calicofall.proxy.discovery import Discovery
 from calicofall.proxy.gossip_transport import GossipTransport
@@ -33,7 +33,7 @@
     """Proxies that all act on the old list, version 7."""
     fleet = [ListFreshness(me, me + 100, size, Random(me)) for me in range(size)]
     for proxy in fleet:
-        proxy.own(0.0, 7, OLD_LIST)
+        proxy.set_own_list(0.0, 7, OLD_LIST)
     return fleet
 
 
@@ -49,32 +49,32 @@
         self.fleet = make_fleet(size)
         self.rng = Random(1)
         self.lost = lost
-        self.next_round_at = {proxy.me: self.rng.uniform(0.0, GAP) for proxy in self.fleet}
+        self.next_round_at = {proxy.own_id: self.rng.uniform(0.0, ROUND_INTERVAL_S) for proxy in self.fleet}
         self.polled_at = {0: 0.0}
         self.sent = 0
-        self.fleet[0].own(0.0, 8, NEW_LIST)
+        self.fleet[0].set_own_list(0.0, 8, NEW_LIST)
 
     def next_round(self) -> float:
         """Runs the round of the proxy whose turn it is; returns its time (s)."""
         me = min(self.next_round_at, key=self.next_round_at.__getitem__)
         proxy = self.fleet[me]
         now = self.next_round_at[me]
-        receivers, request = proxy.tell(now)
-        self.next_round_at[me] = now + GAP
+        receivers, request = proxy.begin_round(now)
+        self.next_round_at[me] = now + ROUND_INTERVAL_S
         for receiver in receivers:
             self.sent += 2
             if self.rng.random() >= self.lost:
-                self.fleet[receiver].told(now, request)
-                proxy.told(now, self.fleet[receiver].word(now, False, request.mark))
-        if proxy.behind(now) is not None:
+                self.fleet[receiver].on_message(now, request)
+                proxy.on_message(now, self.fleet[receiver].make_message(now, False, request.correlation_id))
+        if proxy.claim_poll(now) is not None:
             self.polled_at.setdefault(me, now)
-            proxy.own(now, 8, NEW_LIST)
+            proxy.set_own_list(now, 8, NEW_LIST)
         return now
 
 
 def test_digest_of_names_and_states_does_not_depend_on_their_order() -> None:
-    assert digest(OLD_LIST) == digest(dict(reversed(OLD_LIST.items()))) != digest(NEW_LIST)
-    assert digest({}) != digest(OLD_LIST)
+    assert list_digest(OLD_LIST) == list_digest(dict(reversed(OLD_LIST.items()))) != list_digest(NEW_LIST)
+    assert list_digest({}) != list_digest(OLD_LIST)
 
 
 @pytest.mark.parametrize(
@@ -94,54 +94,61 @@
         assert rounds.next_round() < 20.0
 
     half = sorted(rounds.polled_at.values())[size // 2]
-    assert half <= GAP * (log2(size) / log2(1 + 2 * PEERS_PER_ROUND) + 2) + POLL_DELAY_S + GAP
-    assert rounds.sent <= 2 * PEERS_PER_ROUND * size * (max(rounds.polled_at.values()) / GAP + 2)
+    assert (
+        half
+        <= ROUND_INTERVAL_S * (log2(size) / log2(1 + 2 * PEERS_PER_ROUND) + 2)
+        + POLL_DELAY_S
+        + ROUND_INTERVAL_S
+    )
+    assert rounds.sent <= 2 * PEERS_PER_ROUND * size * (max(rounds.polled_at.values()) / ROUND_INTERVAL_S + 2)
 
 
 def test_behind_with_a_higher_version_heard_polls_once_and_takes_no_list() -> None:
     proxy = make_fleet(3)[0]
-    later = ListDigestMessage(True, 1, 101, 5, 8, digest(NEW_LIST), 10)
+    later = ListDigestMessage(True, 1, 101, 5, 8, list_digest(NEW_LIST), 10)
     older = later._replace(index=6)
     its_own = later._replace(sender=0)
-    same_list_counted_otherwise = later._replace(index=99, digest=digest(OLD_LIST))
+    same_list_counted_otherwise = later._replace(index=99, digest=list_digest(OLD_LIST))
 
     for message in (older, its_own, same_list_counted_otherwise):
-        proxy.told(1.0, message)
-        assert proxy.behind(9.0) is None
+        proxy.on_message(1.0, message)
+        assert proxy.claim_poll(9.0) is None
 
-    proxy.told(10.0, later)
-    assert proxy.behind(10.0 + POLL_DELAY_S / 2) is None  # its own watch may be about to bring the list
-    assert proxy.behind(10.0 + POLL_DELAY_S) == 0.0
-    assert proxy.behind(11.0) is None
+    proxy.on_message(10.0, later)
+    assert proxy.claim_poll(10.0 + POLL_DELAY_S / 2) is None  # its own watch may be about to bring the list
+    assert proxy.claim_poll(10.0 + POLL_DELAY_S) == 0.0
+    assert proxy.claim_poll(11.0) is None
 
-    proxy.told(11.0, later._replace(sender=2, index=7, digest=digest(OLD_LIST)))
-    assert proxy.behind(10.0 + POLL_DELAY_S + REPOLL_AFTER_S) == 0.5  # one of two is no further: by turns
+    proxy.on_message(11.0, later._replace(sender=2, index=7, digest=list_digest(OLD_LIST)))
+    assert proxy.claim_poll(10.0 + POLL_DELAY_S + REPOLL_AFTER_S) == 0.5  # one of two is no further: by turns
     assert proxy.index == 7
-    assert proxy.digest == digest(OLD_LIST)
+    assert proxy.digest == list_digest(OLD_LIST)
 
-    proxy.own(13.0, 8, NEW_LIST)
-    assert proxy.behind(99.0) is None
+    proxy.set_own_list(13.0, 8, NEW_LIST)
+    assert proxy.claim_poll(99.0) is None
 
 
 def test_news_of_lists_that_differ_for_long_is_reported_once_until_they_agree() -> None:
     proxy = make_fleet(3)[0]
-    other = ListDigestMessage(False, 2, 102, 5, 6, digest(NEW_LIST), 10)
+    other = ListDigestMessage(False, 2, 102, 5, 6, list_digest(NEW_LIST), 10)
 
-    proxy.told(1.0, other)
-    assert not proxy.news(1.0 + DIFFERENCE_REPORTED_AFTER_S)  # the peer may have got the list since
+    proxy.on_message(1.0, other)
+    assert not proxy.claim_difference_report(
+        1.0 + DIFFERENCE_REPORTED_AFTER_S
+    )  # the peer may have got the list since
 
-    proxy.told(1.0 + DIFFERENCE_REPORTED_AFTER_S, other)
-    assert proxy.news(1.0 + DIFFERENCE_REPORTED_AFTER_S)
-    assert not proxy.news(2.0 + DIFFERENCE_REPORTED_AFTER_S)
-    assert [(differing.peer, differing.message.index) for differing in proxy.differing(5.0)] == [(2, 6)]
+    proxy.on_message(1.0 + DIFFERENCE_REPORTED_AFTER_S, other)
+    assert proxy.claim_difference_report(1.0 + DIFFERENCE_REPORTED_AFTER_S)
+    assert not proxy.claim_difference_report(2.0 + DIFFERENCE_REPORTED_AFTER_S)
+    assert [(differing.peer, differing.message.index) for differing in proxy.differing_peers(5.0)] == [(2, 6)]
 
-    proxy.told(6.0, other._replace(digest=digest(OLD_LIST)))
-    assert not proxy.differing(60.0)
-    assert not proxy.news(60.0)
+    proxy.on_message(6.0, other._replace(digest=list_digest(OLD_LIST)))
+    assert not proxy.differing_peers(60.0)
+    assert not proxy.claim_difference_report(60.0)
 
-    proxy.told(61.0, other)
-    proxy.tell(61.0 + PEER_FORGOTTEN_AFTER_S + 1.0)  # the peer has said nothing since: it may be gone
-    assert not proxy.differing(99.0)
+    proxy.on_message(61.0, other)
+    proxy.begin_round(61.0 + PEER_FORGOTTEN_AFTER_S + 1.0)  # the peer has said nothing since: it may be gone
+    assert not proxy.differing_peers(99.0)
 
 
 # At a proxy
@@ -157,7 +164,7 @@
         loop, ContentionEstimate(0, 3, 10.0, Random(1)), "shop", 5, addresses, lambda: True
     )
     gossip.reopen_watch = polls.append
-    gossip.list_freshness.own(loop.time(), 7, OLD_LIST)
+    gossip.list_freshness.set_own_list(loop.time(), 7, OLD_LIST)
 
     socket: Any = Air()  # a double for asyncio's transport
     gossip.connection_made(socket)
@@ -165,16 +172,21 @@
     assert len([message for message in decoded if isinstance(message, ListDigestMessage)]) == 2
 
     socket.sent.clear()
-    later = ListDigestMessage(True, 1, 9, 55, 8, digest(NEW_LIST), 3)
+    later = ListDigestMessage(True, 1, 9, 55, 8, list_digest(NEW_LIST), 3)
     gossip.datagram_received(peer_messages.encode_message("shop", later), ("x", 1))
     answer = peer_messages.decode_message(socket.sent[0], "shop", 3)
     assert isinstance(answer, ListDigestMessage)
-    assert (answer.asks, answer.mark, answer.index, answer.digest) == (False, 55, 7, digest(OLD_LIST))
+    assert (answer.is_request, answer.correlation_id, answer.index, answer.digest) == (
+        False,
+        55,
+        7,
+        list_digest(OLD_LIST),
+    )
 
     loop.run(0.6)
     assert polls == [0.0]
 
-    response = peer_messages.encode_message("shop", later._replace(asks=False))
+    response = peer_messages.encode_message("shop", later._replace(is_request=False))
     with caplog.at_level("WARNING", "calicofall"):
         for _ in range(8):
             loop.run(0.9)
