--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -36,8 +36,8 @@
 
     def _on_suspicion(self, now: float, member: int, incarnation: int, suspected_by: int) -> None:
         super()._on_suspicion(now, member, incarnation, suspected_by)
-        if member in self.met and incarnation == self.met[member].incarnation:
-            self.met[member].away_since = now
+        if member in self.peers and incarnation == self.peers[member].incarnation:
+            self.peers[member].away_since = now
 
 
 class BlamesOthersWhenLate(Membership):
@@ -59,7 +59,7 @@
     """Holds against an incarnation what was said of a former one."""
 
     def _record_answer(self, member: int, life: int, asked: float, by: int | None) -> None:
-        peer = self.met[member]
+        peer = self.peers[member]
         if peer.incarnation and life != peer.incarnation:
             life = peer.incarnation
         if peer.away_since is None:
@@ -80,10 +80,10 @@
     def _message(self, what: int, mark: int, about: int, its: int = 0) -> MembershipProbe:
         word = super()._message(what, mark, about, its)
         suspicions = [
-            (member, peer.incarnation, self.own_id) for member, peer in self.met.items() if peer.incarnation
+            (member, peer.incarnation, self.own_id) for member, peer in self.peers.items() if peer.incarnation
         ]
         told = self.rng.sample(suspicions, min(4, len(suspicions)))
-        return word._replace(rumours=tuple(number for suspicion in told for number in suspicion))
+        return word._replace(suspicions=tuple(number for suspicion in told for number in suspicion))
 
 
 # Fault scenarios
@@ -241,22 +241,25 @@
 
 
 def deliver_answer(member: Membership, ask: MembershipProbe, of: int, life: int, now: float) -> None:
-    member.heard(now, MembershipProbe(ProbeKind.PROBE_ANSWER, of, life, ask.mark, of, 0, ()))
+    member.on_message(now, MembershipProbe(ProbeKind.PROBE_ANSWER, of, life, ask.correlation_id, of, 0, ()))
 
 
 def test_answer_to_own_probe_counts_once_and_others_are_ignored() -> None:
     me = new_membership()
     ((to, ask),) = me.wake(0.0)[0]
-    assert me.heard(0.1, MembershipProbe(ProbeKind.PROBE_ANSWER, to, 5, ask.mark + 1, to, 0, ())) == []
+    assert (
+        me.on_message(0.1, MembershipProbe(ProbeKind.PROBE_ANSWER, to, 5, ask.correlation_id + 1, to, 0, ()))
+        == []
+    )
     assert me.state(to) == "unmet"
     other = next(member for member in (1, 2, 3) if member != to)
     deliver_answer(me, ask, other, 5, 0.1)
     assert me.state(other) == "unmet"  # it was not probed
     deliver_answer(me, ask, to, 5, 0.2)
     assert me.state(to) == "here"
-    assert me.met[to].incarnation == 5
+    assert me.peers[to].incarnation == 5
     deliver_answer(me, ask, to, 6, 0.3)  # a duplicate, by another incarnation
-    assert me.met[to].incarnation == 5
+    assert me.peers[to].incarnation == 5
 
 
 @pytest.mark.parametrize(
@@ -267,7 +270,7 @@
     me = membership_class(0, 77, frozenset(range(4)), 0.0, Random(1))
     ((to, _),) = me.wake(0.0)[0]
     me.wake(me.next_round_at + 2.0)
-    assert (me.met[to].suspected_since is not None) is suspects
+    assert (me.peers[to].suspected_since is not None) is suspects
 
 
 def test_late_answer_of_former_incarnation_is_ignored() -> None:
@@ -276,28 +279,28 @@
     ((_, second),) = me.wake(me.next_round_at)[0]
     deliver_answer(me, second, 1, 6, 1.1)
     deliver_answer(me, first, 1, 5, 1.2)
-    assert me.met[1].incarnation == 6
+    assert me.peers[1].incarnation == 6
 
 
 def test_suspicion_of_former_incarnation_is_ignored_and_of_unknown_one_causes_probe() -> None:
     me = new_membership()
-    me.met[1].incarnation, me.met[1].former_incarnations, me.met[1].last_answered_at = 9, [8], 0.0
-    me.heard(0.1, MembershipProbe(ProbeKind.PROBE, 2, 5, 1, 2, 0, (1, 8, 2)))
+    me.peers[1].incarnation, me.peers[1].former_incarnations, me.peers[1].last_answered_at = 9, [8], 0.0
+    me.on_message(0.1, MembershipProbe(ProbeKind.PROBE, 2, 5, 1, 2, 0, (1, 8, 2)))
     assert 1 not in me.probe_queue
-    assert not me.met[1].suspecting_peers
-    me.heard(0.1, MembershipProbe(ProbeKind.PROBE, 2, 5, 1, 2, 0, (1, 10, 2)))
+    assert not me.peers[1].suspecting_peers
+    me.on_message(0.1, MembershipProbe(ProbeKind.PROBE, 2, 5, 1, 2, 0, (1, 10, 2)))
     assert 1 in me.probe_queue
-    assert not me.met[1].suspecting_peers
+    assert not me.peers[1].suspecting_peers
 
 
 def test_proxy_that_is_no_member_is_neither_probed_nor_heard() -> None:
     me = new_membership()
-    me.belong(frozenset({0, 1}))
-    assert me.heard(0.1, MembershipProbe(ProbeKind.PROBE, 3, 5, 1, 3, 0, (1, 0, 3))) == []
+    me.set_members(frozenset({0, 1}))
+    assert me.on_message(0.1, MembershipProbe(ProbeKind.PROBE, 3, 5, 1, 3, 0, (1, 0, 3))) == []
     asked = {to for at in range(8) for to, _ in me.wake(float(at))[0]}
     assert asked == {1}
     assert me.state(3) == "no member"
-    me.belong(frozenset({0, 1, 3}))
+    me.set_members(frozenset({0, 1, 3}))
     assert me.state(3) == "unmet"
 
 
@@ -305,11 +308,13 @@
     me = new_membership(6)
     out = []
     for mark in range(MAX_RELAYED_PROBES + 5):
-        out += me.heard(0.0, MembershipProbe(ProbeKind.INDIRECT_PROBE, 1, 5, mark, 2, 0, ()))
+        out += me.on_message(0.0, MembershipProbe(ProbeKind.INDIRECT_PROBE, 1, 5, mark, 2, 0, ()))
     assert len(out) == MAX_RELAYED_PROBES
     assert all(to == 2 and word.kind == ProbeKind.PROBE for to, word in out)
-    ((whom, told),) = me.heard(0.1, MembershipProbe(ProbeKind.PROBE_ANSWER, 2, 6, out[0][1].mark, 2, 0, ()))
-    assert (whom, told.kind, told.subject, told.subject_incarnation, told.mark) == (
+    ((whom, told),) = me.on_message(
+        0.1, MembershipProbe(ProbeKind.PROBE_ANSWER, 2, 6, out[0][1].correlation_id, 2, 0, ())
+    )
+    assert (whom, told.kind, told.subject, told.subject_incarnation, told.correlation_id) == (
         1,
         ProbeKind.INDIRECT_ANSWER,
         2,
@@ -324,7 +329,7 @@
 def test_probes_in_a_round_with_all_suspected_stay_within_stated_number() -> None:
     me = new_membership(50)
     for member in range(1, 50):
-        me.met[member].incarnation = member
+        me.peers[member].incarnation = member
         me.probe_queue[member] = None
     asks, at = me.wake(0.0)
     assert len(asks) <= 1 + SUSPECTS_PER_ROUND
@@ -338,7 +343,7 @@
     for wrong in (("x",), (-1,), tuple(range(40)), (1.5,), "abc"):
         with pytest.raises(peer_messages.InvalidMessage):
             peer_messages.decode_message(
-                peer_messages.encode_message("shop", word._replace(rumours=wrong)), "shop", 8
+                peer_messages.encode_message("shop", word._replace(suspicions=wrong)), "shop", 8
             )
     largest = MembershipProbe(3, 999, 2**48, 2**48, 999, 2**48, (999, 2**48, 999) * SUSPICIONS_PER_MESSAGE)
     assert len(peer_messages.encode_message("f" * 60, largest)) <= peer_messages.LARGEST
@@ -355,7 +360,7 @@
         peer_messages.encode_message("shop", MembershipProbe(ProbeKind.PROBE, 1, 5, 33, 1, 0, ())), ("x", 1)
     )
     answer = peer_messages.decode_message(air.sent[0], "shop", 3)
-    assert (answer.kind, answer.mark, answer.sender, answer.incarnation) == (
+    assert (answer.kind, answer.correlation_id, answer.sender, answer.incarnation) == (
         ProbeKind.PROBE_ANSWER,
         33,
         0,
@@ -367,11 +372,11 @@
             loop.run(0.5)
             for word in [peer_messages.decode_message(data, "shop", 3) for data in air.sent]:
                 if isinstance(word, MembershipProbe) and word.kind == ProbeKind.PROBE:
-                    marks = peers.membership.marks
-                    if word.mark in marks and marks[word.mark][0] == 1:
-                        back = MembershipProbe(ProbeKind.PROBE_ANSWER, 1, 5, word.mark, 1, 0, ())
+                    marks = peers.membership.outstanding_probes
+                    if word.correlation_id in marks and marks[word.correlation_id][0] == 1:
+                        back = MembershipProbe(ProbeKind.PROBE_ANSWER, 1, 5, word.correlation_id, 1, 0, ())
                         peers.datagram_received(peer_messages.encode_message("shop", back), ("x", 1))
     assert [record.who for record in caplog.records if record.message == "members away"] == ["2"]
-    lines = peers.membership.lines(loop.time())
+    lines = peers.membership.format_lines(loop.time())
     assert any(line.startswith("member.2:away life=000000000000") for line in lines)
-    assert peers.list_freshness.tell(loop.time(), peers.membership.away())[0] == [1]
+    assert peers.list_freshness.begin_round(loop.time(), peers.membership.away_members())[0] == [1]
--- a/tests/test_outlier_consensus.py
+++ b/tests/test_outlier_consensus.py
@@ -11,25 +11,25 @@
 from calicofall.config.settings import validate_settings
 from calicofall.fleet.outlier_consensus import (
     ANSWER_TIMEOUT_S,
-    CROWDED,
-    FINE,
+    DECISION_LIFETIME_S,
     HALF_LIFE_S,
-    HOLD,
+    HEALTHY,
     MAX_EJECTED_FRACTION,
     MIN_ASKING_PEERS,
     MIN_VOTES,
+    OVERLOADED,
     PEERS_PER_QUERY,
     QUERIES_PER_ROUND,
     REQUERY_AFTER_S,
     ROUND_INTERVAL_S,
-    SICK,
+    UNDECIDED,
+    UNHEALTHY,
     UNITS_PER_REQUEST,
-    UNSURE,
-    WAY,
+    UNREACHABLE_FROM_ZONE,
     EvidenceMessage,
     OutlierConsensus,
 )
-from calicofall.proxy.outlier_reports import SIZE
+from calicofall.proxy.outlier_reports import LARGE_ANSWER_MIN_BYTES
 from calicofall.routing.request import Attempt
 from calicofall.startup import peer_messages
 from calicofall.startup.peer_messages import name_digest
@@ -44,15 +44,15 @@
 class VouchesByOldSuccesses(OutlierConsensus):
     """Successes count for health however old they are."""
 
-    def _word(self, now: float, asks: bool, mark: int, cache: int) -> EvidenceMessage:
-        return super()._word(now, asks, mark, cache)._replace(age=0)
+    def _make_message(self, now: float, asks: bool, mark: int, cache: int) -> EvidenceMessage:
+        return super()._make_message(now, asks, mark, cache)._replace(last_success_age_ms=0)
 
 
 class HasNoEjectionLimit(OutlierConsensus):
     """Ejects as many endpoints as there are decisions."""
 
     @staticmethod
-    def room(listed: int, aside: int) -> bool:
+    def may_eject(listed: int, aside: int) -> bool:
         return True
 
 
@@ -62,15 +62,15 @@
     def _decide(self, now: float, query: Any) -> None:
         super()._decide(now, query)
         if any(badly > well for _, well, badly, *_ in query.replies.values()):
-            verdict = self.verdicts[query.endpoint]._replace(what=SICK)
+            verdict = self.decisions[query.endpoint]._replace(health=UNHEALTHY)
             self.new_decisions.append((query.endpoint, verdict))
 
 
 class ReportsFailuresOnly(OutlierConsensus):
     """Says that all requests fail at each endpoint."""
 
-    def _word(self, now: float, asks: bool, mark: int, cache: int) -> EvidenceMessage:
-        return super()._word(now, asks, mark, cache)._replace(well=0, badly=10_000)
+    def _make_message(self, now: float, asks: bool, mark: int, cache: int) -> EvidenceMessage:
+        return super()._make_message(now, asks, mark, cache)._replace(successes=0, failures=10_000)
 
 
 # Simulations
@@ -138,7 +138,7 @@
     simulation.run(30.0)
     assert simulation.avoiding_fraction(3) >= 0.9
     simulation.unhealthy_zones.clear()
-    simulation.run(30.0 + HOLD + 3.0 * HALF_LIFE_S + REQUERY_AFTER_S + OWN_EJECTION_S)
+    simulation.run(30.0 + DECISION_LIFETIME_S + 3.0 * HALF_LIFE_S + REQUERY_AFTER_S + OWN_EJECTION_S)
     assert not any(simulation.now < table.get(3, 0.0) for table in simulation.peer_ejections)
 
 
@@ -195,7 +195,7 @@
         one.run(40.0)
     assert not any(simulation.peer_ejections)
     assert not any(
-        verdict.what != UNSURE for one in simulation.fleet for verdict in one.instance.verdicts.values()
+        verdict.health != UNDECIDED for one in simulation.fleet for verdict in one.instance.decisions.values()
     )
     assert abs(simulation.avoiding_fraction(3) - alone.avoiding_fraction(3)) < 0.2
 
@@ -206,7 +206,7 @@
     assert calm.sent == 0
     worst = OutlierSimulation(24, 20, 1, rate=0.5, false_failure_fraction=0.3)
     worst.run(30.0)
-    asks = sum(one.instance.asked for one in worst.fleet) / 24 / 30.0
+    asks = sum(one.instance.query_messages_sent for one in worst.fleet) / 24 / 30.0
     assert 0.0 < asks <= QUERIES_PER_ROUND * PEERS_PER_QUERY / (0.9 * ROUND_INTERVAL_S) + 1.0
 
 
@@ -218,9 +218,9 @@
 ) -> tuple[OutlierConsensus, dict[int, EvidenceMessage]]:
     """A proxy that suspects endpoint 9 and has asked; its queries by member."""
     one = OutlierConsensus(0, 5, zone, Random(1))
-    one.keep({9})
+    one.set_endpoints({9})
     for well in own:
-        one.saw(0.0, 9, well)
+        one.record_result(0.0, 9, well)
     asks, _ = one.wake(0.1, list(range(1, 1 + PEERS_PER_QUERY)), {9})
     return one, dict(asks)
 
@@ -239,7 +239,7 @@
         False,
         who,
         40 + who,
-        ask.mark,
+        ask.correlation_id,
         ask.endpoint,
         zone,
         round(well * UNITS_PER_REQUEST),
@@ -252,9 +252,9 @@
 
 def decide_by(one: OutlierConsensus, asks: dict[int, EvidenceMessage], answers: list[tuple]) -> str:
     for who, *rest in answers:
-        one.heard(0.2, answer_to(asks[who], who, *rest))
+        one.on_message(0.2, answer_to(asks[who], who, *rest))
     one.wake(0.1 + ANSWER_TIMEOUT_S + 0.01, [], set())
-    return one.verdicts[9].what
+    return one.decisions[9].health
 
 
 FAILING, SUCCEEDING = (0.0, 2.0), (2.0, 0.0)
@@ -263,8 +263,8 @@
 @pytest.mark.parametrize(
     ("own", "answers", "what"),
     [
-        ([False], [(who, *FAILING, who % 2) for who in range(1, 6)], SICK),
-        ([False], [(who, *SUCCEEDING, who % 2) for who in range(1, 6)], FINE),
+        ([False], [(who, *FAILING, who % 2) for who in range(1, 6)], UNHEALTHY),
+        ([False], [(who, *SUCCEEDING, who % 2) for who in range(1, 6)], HEALTHY),
         (
             [False],
             [
@@ -275,25 +275,25 @@
                 (5, *SUCCEEDING, 2),
                 (6, *SUCCEEDING, 2),
             ],
-            WAY,
+            UNREACHABLE_FROM_ZONE,
         ),
         (
             [False],
             [(1, *FAILING, 1), (2, *FAILING, 1), (3, *FAILING, 1), (4, *FAILING, 1), (5, *SUCCEEDING, 2)],
-            UNSURE,
+            UNDECIDED,
         ),
         (
             [],
             [(1, *SUCCEEDING, 1), (6, *FAILING, 1), *((who, *FAILING, 2) for who in range(2, 6))],
-            UNSURE,
+            UNDECIDED,
         ),
-        ([False], [(1, *FAILING), (2, *SUCCEEDING)], UNSURE),
-        ([], [], UNSURE),
-        ([], [(who, *FAILING) for who in range(1, MIN_VOTES)], UNSURE),
-        ([], [(who, *FAILING) for who in range(1, MIN_VOTES + 1)], SICK),
-        ([False] * 6, [(who, *SUCCEEDING, 1) for who in range(1, 8)], UNSURE),
-        ([False], [(who, *SUCCEEDING, 1, NEVER_MS) for who in range(1, 8)], UNSURE),
-        ([False], [(who, 0.1, 0.0) for who in range(1, 8)], UNSURE),
+        ([False], [(1, *FAILING), (2, *SUCCEEDING)], UNDECIDED),
+        ([], [], UNDECIDED),
+        ([], [(who, *FAILING) for who in range(1, MIN_VOTES)], UNDECIDED),
+        ([], [(who, *FAILING) for who in range(1, MIN_VOTES + 1)], UNHEALTHY),
+        ([False] * 6, [(who, *SUCCEEDING, 1) for who in range(1, 8)], UNDECIDED),
+        ([False], [(who, *SUCCEEDING, 1, NEVER_MS) for who in range(1, 8)], UNDECIDED),
+        ([False], [(who, 0.1, 0.0) for who in range(1, 8)], UNDECIDED),
     ],
     ids=[
         "all-unhealthy",
@@ -323,14 +323,14 @@
 @pytest.mark.parametrize(
     ("answers", "what"),
     [
-        (overload_answers([500, 500, *[NEVER_MS] * 4]), CROWDED),
-        (overload_answers([NEVER_MS] * 6), SICK),
-        (overload_answers([500] * 6, met=1.4), SICK),
+        (overload_answers([500, 500, *[NEVER_MS] * 4]), OVERLOADED),
+        (overload_answers([NEVER_MS] * 6), UNHEALTHY),
+        (overload_answers([500] * 6, met=1.4), UNHEALTHY),
         (
             [*overload_answers([500] * 5, met=1.4), (6, *FAILING, 0, 500, 1000.0, 0.0)],
-            SICK,
+            UNHEALTHY,
         ),
-        ([*overload_answers([500] * 5), (6, *FAILING, 0, 500, 0.0, 1000.0)], CROWDED),
+        ([*overload_answers([500] * 5), (6, *FAILING, 0, 500, 0.0, 1000.0)], OVERLOADED),
     ],
     ids=[
         "high-load-two-of-six-saw-success",
@@ -343,30 +343,30 @@
 def test_overloaded_endpoint_is_not_unhealthy(answers: list, what: str) -> None:
     one, asks = querying_proxy([False])
     assert decide_by(one, asks, answers) == what
-    assert bool(one.news()) is True
+    assert bool(one.take_new_decisions()) is True
 
 
 def test_mean_load_is_counted_separately_for_large_answers() -> None:
     one = OutlierConsensus(0, 5, 1, Random(1))
-    one.keep({1, 2, 3, 4}, large_answer_ids={3, 4})
+    one.set_endpoints({1, 2, 3, 4}, large_answer_ids={3, 4})
     for cache, count in ((1, 6), (2, 2), (3, 1)):
         for _ in range(count):
-            one.saw(0.0, cache, True)
-    assert one.load(0.0, 1) == (6.0, 4.0)
-    assert one.load(0.0, 3) == (1.0, 0.5)
-    assert one.load(0.0, 4) == (0.0, 0.5)
-    assert one.load(HALF_LIFE_S, 1) == pytest.approx((3.0, 2.0), abs=1e-3)
+            one.record_result(0.0, cache, True)
+    assert one.recent_load(0.0, 1) == (6.0, 4.0)
+    assert one.recent_load(0.0, 3) == (1.0, 0.5)
+    assert one.recent_load(0.0, 4) == (0.0, 0.5)
+    assert one.recent_load(HALF_LIFE_S, 1) == pytest.approx((3.0, 2.0), abs=1e-3)
 
 
 def test_member_counts_once_and_only_in_its_query() -> None:
     one, asks = querying_proxy([False])
     for _ in range(5):
-        one.heard(0.2, answer_to(asks[1], 1, *FAILING))
-    one.heard(0.2, answer_to(asks[1], 30, *FAILING))  # was not asked
-    one.heard(0.2, answer_to(asks[1], 2, *FAILING)._replace(mark=asks[1].mark + 1))
-    one.heard(0.2, answer_to(asks[1], 3, *FAILING)._replace(endpoint=8))
-    assert decide_by(one, asks, []) == UNSURE
-    assert one.verdicts[9].votes == 2
+        one.on_message(0.2, answer_to(asks[1], 1, *FAILING))
+    one.on_message(0.2, answer_to(asks[1], 30, *FAILING))  # was not asked
+    one.on_message(0.2, answer_to(asks[1], 2, *FAILING)._replace(correlation_id=asks[1].correlation_id + 1))
+    one.on_message(0.2, answer_to(asks[1], 3, *FAILING)._replace(endpoint=8))
+    assert decide_by(one, asks, []) == UNDECIDED
+    assert one.decisions[9].votes == 2
 
 
 @given(
@@ -384,36 +384,36 @@
 def test_two_failures_in_a_row_void_earlier_successes() -> None:
     one = OutlierConsensus(0, 5, 1, Random(1))
     for well in [True] * 9 + [False]:
-        one.saw(0.0, 9, well)
-    assert one.seen(0.0, 9) == (9.0, 1.0)
-    one.saw(0.0, 9, False)
-    assert one.seen(0.0, 9) == (0.0, 2.0)
+        one.record_result(0.0, 9, well)
+    assert one.recent_results(0.0, 9) == (9.0, 1.0)
+    one.record_result(0.0, 9, False)
+    assert one.recent_results(0.0, 9) == (0.0, 2.0)
 
 
 def test_evidence_decays_and_is_dropped_for_unlisted_endpoints() -> None:
     one = OutlierConsensus(0, 5, 1, Random(1))
-    one.keep({8, 9})
-    one.saw(0.0, 9, False)
-    one.saw(0.0, 8, True)
-    assert one.seen(HALF_LIFE_S, 9) == pytest.approx((0.0, 0.5), abs=1e-3)
-    one.heard(
+    one.set_endpoints({8, 9})
+    one.record_result(0.0, 9, False)
+    one.record_result(0.0, 8, True)
+    assert one.recent_results(HALF_LIFE_S, 9) == pytest.approx((0.0, 0.5), abs=1e-3)
+    one.on_message(
         0.0, answer_to(EvidenceMessage(True, 1, 1, 1, 9, 1, 0, 0, 0), 1, *FAILING)._replace(is_query=True)
     )
-    one.keep({8})
-    assert not one.askers
+    one.set_endpoints({8})
+    assert not one.peer_queries
     assert set(one.evidence) == {8}
     for cache in range(1000):
-        one.heard(0.0, EvidenceMessage(True, 1, 1, 1, cache, 1, 0, 0, 0))
-    assert set(one.askers) == {8}  # whatever one asks about
+        one.on_message(0.0, EvidenceMessage(True, 1, 1, 1, cache, 1, 0, 0, 0))
+    assert set(one.peer_queries) == {8}  # whatever one asks about
 
 
 def test_proxy_asked_by_several_members_queries_itself() -> None:
     one = OutlierConsensus(0, 5, 1, Random(1))
-    one.keep({9})
+    one.set_endpoints({9})
     for who in range(1, 3):
-        answer = one.heard(0.0, EvidenceMessage(True, who, 40, 7, 9, 1, 0, 16, NEVER_MS))
-        assert answer.mark == 7
-        assert (answer.well, answer.badly) == (0, 0)
+        answer = one.on_message(0.0, EvidenceMessage(True, who, 40, 7, 9, 1, 0, 16, NEVER_MS))
+        assert answer.correlation_id == 7
+        assert (answer.successes, answer.failures) == (0, 0)
         asks, _ = one.wake(0.1 * who + who, [1, 2, 3], set())
         assert bool(asks) is (who == MIN_ASKING_PEERS)
 
@@ -465,7 +465,7 @@
                     False,
                     peer,
                     40,
-                    word.mark,
+                    word.correlation_id,
                     word.endpoint,
                     name_digest(zone),
                     round(well * UNITS_PER_REQUEST),
@@ -491,7 +491,7 @@
         desk.answer(3.0, 0.0)
     assert desk.part("c2") == 1.0
     assert desk.witnesses.reinstated_count == 1
-    assert [(r.cache, r.verdict) for r in caplog.records if r.message == "witnesses"] == [("c2", FINE)]
+    assert [(r.cache, r.verdict) for r in caplog.records if r.message == "witnesses"] == [("c2", HEALTHY)]
     assert any(line.startswith("verdict.c2:fine sick=1 of=9") for line in desk.witnesses.format_lines())
     assert "verdict.c2" in desk.proxy.handle_call("verdicts")
 
@@ -513,7 +513,7 @@
     desk.proxy.router.policy.endpoints.caches[aside].admitted_fraction = 1.0
     desk.witnesses.on_result(aside, rpc_for("read"), "timeout", 50.0, 0)
     assert desk.part(aside) == 0.125  # our own failure confirms the decision
-    desk.loop.run(HOLD + 20.0)
+    desk.loop.run(DECISION_LIFETIME_S + 20.0)
     desk.witnesses.on_result(aside, rpc_for("read"), "timeout", 50.0, 0)
     assert desk.part("c1") == desk.part("c2") == 1.0  # decisions by peers expire
 
@@ -537,7 +537,7 @@
         )
     desk.answer(0.0, 3.0)
     assert desk.part("c1") == 1.0
-    assert desk.witnesses.consensus.verdicts[name_digest("c1")].what == SICK
+    assert desk.witnesses.consensus.decisions[name_digest("c1")].health == UNHEALTHY
     with pytest.raises(ValueError, match="settings.pins"):
         validate_settings(SETTINGS | {"pins": {"hosts": ["x"]}})
     with pytest.raises(ValueError, match="settings.pins.caches"):
@@ -547,12 +547,16 @@
 def test_outcomes_that_tell_nothing_about_health_are_no_evidence() -> None:
     desk = ReportingDesk()
     desk.proxy.router.policy.latency.baselines["read"] = 10.0
-    for outcome, took, size in (("full", 1.0, 0), ("cancelled", 1.0, 0), ("completed", 500.0, SIZE)):
+    for outcome, took, size in (
+        ("full", 1.0, 0),
+        ("cancelled", 1.0, 0),
+        ("completed", 500.0, LARGE_ANSWER_MIN_BYTES),
+    ):
         desk.witnesses.on_result("c1", rpc_for("read"), outcome, took, size)
     assert not desk.witnesses.consensus.evidence
     desk.witnesses.on_result("c1", rpc_for("read"), "completed", 39.0, 10)
     desk.witnesses.on_result("c1", rpc_for("read"), "completed", 41.0, 10)
-    assert desk.witnesses.consensus.seen(desk.loop.time(), name_digest("c1")) == (1.0, 1.0)
+    assert desk.witnesses.consensus.recent_results(desk.loop.time(), name_digest("c1")) == (1.0, 1.0)
 
 
 def test_outlier_reports_without_setting_are_off() -> None:
@@ -629,7 +633,7 @@
     assert desk.witnesses.fair_latency("c2", "read", 400.0, 20_000) == 10.0
     assert desk.witnesses.fair_latency("c2", "read", 400.0, 200) == 400.0
     assert desk.witnesses.fair_latency("c1", "read", 400.0, 20_000) == 400.0
-    desk.loop.run(HOLD + 1.0)
+    desk.loop.run(DECISION_LIFETIME_S + 1.0)
     desk.witnesses.timer.cancel()
     desk.witnesses.wake()
     assert not desk.witnesses.slow_for_large
--- a/tests/test_quota_leases.py
+++ b/tests/test_quota_leases.py
@@ -14,7 +14,7 @@
     MAX_LENT_FRACTION,
     MIN_LEASE_UNITS,
     REQUESTS_PER_ROUND,
-    ROUND,
+    ROUND_INTERVAL_S,
     UNITS,
     BorrowedLease,
     PendingRequest,
@@ -35,7 +35,7 @@
 
     def _grant(self, now: float, word: QuotaLeaseMessage) -> int:
         units = super()._grant(now, word)
-        self.lent.clear()
+        self.lent_leases.clear()
         return units
 
 
@@ -58,30 +58,32 @@
 class CountsLeaseFromAnswer(QuotaLeases):
     """A lease runs from its answer on."""
 
-    def heard(self, now: float, word: QuotaLeaseMessage) -> QuotaLeaseMessage | None:
-        if not word.is_request and word.mark in self.asked:
-            whom, units, times = self.asked[word.mark]
-            self.asked[word.mark] = PendingRequest(whom, units, dict.fromkeys(times, now))
-        return super().heard(now, word)
+    def on_message(self, now: float, word: QuotaLeaseMessage) -> QuotaLeaseMessage | None:
+        if not word.is_request and word.correlation_id in self.pending_requests:
+            whom, units, times = self.pending_requests[word.correlation_id]
+            self.pending_requests[word.correlation_id] = PendingRequest(
+                whom, units, dict.fromkeys(times, now)
+            )
+        return super().on_message(now, word)
 
 
 class TakesAnyAnswerForRenewal(QuotaLeases):
     """An answer to the first request of a lease counts for its renewal."""
 
-    def heard(self, now: float, word: QuotaLeaseMessage) -> QuotaLeaseMessage | None:
-        if not word.is_request and word.mark in self.asked:
-            word = word._replace(question=max(self.asked[word.mark].sent_at))
-        return super().heard(now, word)
+    def on_message(self, now: float, word: QuotaLeaseMessage) -> QuotaLeaseMessage | None:
+        if not word.is_request and word.correlation_id in self.pending_requests:
+            word = word._replace(request_number=max(self.pending_requests[word.correlation_id].sent_at))
+        return super().on_message(now, word)
 
 
 class AddsDuplicateAnswers(QuotaLeases):
     """A duplicate of an answer counts as another lease."""
 
-    def heard(self, now: float, word: QuotaLeaseMessage) -> QuotaLeaseMessage | None:
-        if not word.is_request and word.mark in self.borrowed:
-            whom, units, until = self.borrowed[word.mark]
-            self.borrowed[word.mark] = BorrowedLease(whom, units + word.units, until)
-        return super().heard(now, word)
+    def on_message(self, now: float, word: QuotaLeaseMessage) -> QuotaLeaseMessage | None:
+        if not word.is_request and word.correlation_id in self.borrowed_leases:
+            whom, units, until = self.borrowed_leases[word.correlation_id]
+            self.borrowed_leases[word.correlation_id] = BorrowedLease(whom, units + word.units, until)
+        return super().on_message(now, word)
 
 
 class CachesUsableUnits(QuotaLeases):
@@ -91,11 +93,11 @@
 
     def wake(self, now: float, there: list[int]) -> tuple:
         out = super().wake(now, there)
-        self.kept = super().part(now)
+        self.kept = super().usable_units(now)
         return out
 
-    def part(self, now: float) -> int:
-        return self.kept or super().part(now)
+    def usable_units(self, now: float) -> int:
+        return self.kept or super().usable_units(now)
 
 
 # Fault scenarios
@@ -235,15 +237,15 @@
         if what == "restart":
             life = 100 + round(now * 1000) * 3 + me
             fleet[me] = QuotaLeases(0, me, life, 3, now, LEASE, 0.0, Random(life))
-        fleet[me].want(wants * UNITS // 2)
+        fleet[me].set_demand(wants * UNITS // 2)
         air += fleet[me].wake(now, [0, 1, 2])[0]
         if air and what != "want":
             to, word = air.pop(0) if what != "later" else air[0]
             for _ in range({"lose": 0, "double": 2}.get(what, 1)):
-                answer = fleet[to].heard(now, word)
+                answer = fleet[to].on_message(now, word)
                 if answer is not None:
                     air.append((word.sender, answer))
-        assert sum(one.part(now) for one in fleet) <= UNITS
+        assert sum(one.usable_units(now) for one in fleet) <= UNITS
 
 
 @pytest.mark.parametrize(("fleet", "few"), [(8, 1), (8, 2), (24, 2), (200, 4)])
@@ -253,13 +255,15 @@
     simulation.wants = [UNITS // few if me < few else 0 for me in range(fleet)]
     times = min(MAX_BORROWED_LEASES, (fleet - few) / few)  # its own units, that each may borrow
     simulation.run(
-        simulation.now + (times / MAX_LENT_FRACTION) / REQUESTS_PER_ROUND * ROUND * 2.0 + 2 * ROUND
+        simulation.now
+        + (times / MAX_LENT_FRACTION) / REQUESTS_PER_ROUND * ROUND_INTERVAL_S * 2.0
+        + 2 * ROUND_INTERVAL_S
     )
     own = UNITS // fleet
     got = sum(part for me, part in simulation.usable_units().items() if me < few) / few
     assert got >= 0.9 * own * (1.0 + MAX_LENT_FRACTION * times)
     simulation.wants = [0 if me < few else own for me in range(fleet)]
-    simulation.run(simulation.now + LEASE / 2.0 + grant_duration(LEASE, DRIFT) + ROUND)
+    simulation.run(simulation.now + LEASE / 2.0 + grant_duration(LEASE, DRIFT) + ROUND_INTERVAL_S)
     assert min(part for me, part in simulation.usable_units().items() if me >= few) == own
     assert simulation.over == 0.0
 
@@ -316,24 +320,33 @@
 
 def test_lease_in_fleet_of_five_thousand_is_granted() -> None:
     borrower, owner = (QuotaLeases(0, me, 5 + me, 5000, 0.0, LEASE, DRIFT, Random(me)) for me in range(2))
-    borrower.want(10 * borrower.own_units)
+    borrower.set_demand(10 * borrower.own_units)
     (_, ask), *_ = borrower.wake(5.0, [1])[0]
-    before = borrower.part(5.0)
-    borrower.heard(5.1, owner.heard(5.05, ask))
-    assert borrower.part(5.1) >= before + 0.7 * owner.own_units
-    assert owner.part(5.1) < 0.3 * owner.own_units
+    before = borrower.usable_units(5.0)
+    borrower.on_message(5.1, owner.on_message(5.05, ask))
+    assert borrower.usable_units(5.1) >= before + 0.7 * owner.own_units
+    assert owner.usable_units(5.1) < 0.3 * owner.own_units
 
 
 def test_answer_to_no_request_or_with_more_than_requested_is_ignored() -> None:
     one = QuotaLeases(0, 0, 5, 4, 0.0, LEASE, DRIFT, Random(1))
-    one.want(UNITS)
+    one.set_demand(UNITS)
     asks, _ = one.wake(0.0, [1, 2, 3])
     to, ask = asks[0]
-    before = one.part(0.0)
-    one.heard(0.1, QuotaLeaseMessage(False, to, 9, ask.mark + 1, 0, MIN_LEASE_UNITS, ask.question))
-    one.heard(0.1, QuotaLeaseMessage(False, (to + 1) % 4, 9, ask.mark, 0, MIN_LEASE_UNITS, ask.question))
-    one.heard(0.1, QuotaLeaseMessage(False, to, 9, ask.mark, 0, MIN_LEASE_UNITS, ask.question + 1))
-    assert one.part(0.1) == before
-    one.heard(0.1, QuotaLeaseMessage(False, to, 9, ask.mark, 0, ask.units * 2, ask.question))
-    assert one.part(0.1) == before
-    assert not one.borrowed
+    before = one.usable_units(0.0)
+    one.on_message(
+        0.1, QuotaLeaseMessage(False, to, 9, ask.correlation_id + 1, 0, MIN_LEASE_UNITS, ask.request_number)
+    )
+    one.on_message(
+        0.1,
+        QuotaLeaseMessage(False, (to + 1) % 4, 9, ask.correlation_id, 0, MIN_LEASE_UNITS, ask.request_number),
+    )
+    one.on_message(
+        0.1, QuotaLeaseMessage(False, to, 9, ask.correlation_id, 0, MIN_LEASE_UNITS, ask.request_number + 1)
+    )
+    assert one.usable_units(0.1) == before
+    one.on_message(
+        0.1, QuotaLeaseMessage(False, to, 9, ask.correlation_id, 0, ask.units * 2, ask.request_number)
+    )
+    assert one.usable_units(0.1) == before
+    assert not one.borrowed_leases
--- a/tests/test_rate_slots.py
+++ b/tests/test_rate_slots.py
@@ -16,7 +16,7 @@
     PendingRequest,
     QuotaLeaseMessage,
 )
-from calicofall.fleet.rate_slots import SLOTS, OriginFetchSlots, RateSlots
+from calicofall.fleet.rate_slots import SLOTS_PER_PROXY, OriginFetchSlots, RateSlots
 from calicofall.proxy.quota_enforcement import HANDSHAKE_SLOTS, IN_FLIGHT_LIMIT, ORIGIN_FETCH_SLOTS
 from calicofall.startup import peer_messages
 from calicofall.startup.time_slots import SLOT_LATENESS_S, TimeSlots
@@ -31,10 +31,10 @@
     """An owner uses slots that it has lent."""
 
     def owned_slots(self, now: float) -> list:
-        self.part(now)
+        self.usable_units(now)
         return [
-            *((self.own_id, slot) for slot in range(SLOTS)),
-            *((whom, self.borrowed_slots[mark]) for mark, (whom, _, _) in self.borrowed.items()),
+            *((self.own_id, slot) for slot in range(SLOTS_PER_PROXY)),
+            *((whom, self.borrowed_slots[mark]) for mark, (whom, _, _) in self.borrowed_leases.items()),
         ]
 
 
@@ -42,7 +42,7 @@
     """All leases are of one slot."""
 
     def _choose_slot(self, word: QuotaLeaseMessage) -> int:
-        return self.granted_slots.setdefault((word.sender, word.incarnation, word.mark), 1)
+        return self.granted_slots.setdefault((word.sender, word.incarnation, word.correlation_id), 1)
 
 
 class IgnoresFormerIncarnation(RateSlots):
@@ -56,7 +56,7 @@
 class NeverChecksSlots(RateSlots):
     """A slot is used without a check whether it is over, or still ours."""
 
-    def mine(self, grid: TimeSlots, at: float, now: float) -> bool:
+    def may_use(self, grid: TimeSlots, at: float, now: float) -> bool:
         return True
 
 
@@ -125,9 +125,9 @@
 class IgnoresGainedAt(OriginFetchSlots):
     """Uses slots whose moments were another proxy's."""
 
-    def due(self, now: float) -> float:
-        self.turns.gained_at = -1e9
-        return super().due(now)
+    def due_at(self, now: float) -> float:
+        self.rate_slots.gained_at = -1e9
+        return super().due_at(now)
 
 
 def test_origin_slots_with_changing_leases_are_used_once(
@@ -163,7 +163,8 @@
     simulation.run(14.0)
     got = sum(at >= 11.0 for at in simulation.taken_at) / 3.0
     most = min(
-        400.0, few * 400.0 / fleet * (1.0 + min(MAX_BORROWED_LEASES / SLOTS, 0.75 * (fleet - few) / few))
+        400.0,
+        few * 400.0 / fleet * (1.0 + min(MAX_BORROWED_LEASES / SLOTS_PER_PROXY, 0.75 * (fleet - few) / few)),
     )
     assert got >= 0.9 * most
     simulation.wants = [UNITS // fleet] * fleet
@@ -174,16 +175,20 @@
 
 def test_first_slot_is_never_lent_and_invalid_lease_of_it_is_ignored() -> None:
     turns = RateSlots(0, 0, 5, 4, 0.0, 3.0, 0.01, Random(1))
-    turns.want(turns.total)
+    turns.set_demand(turns.total)
     (whom, asked), *_ = turns.wake(4.0, [1, 2, 3])[0]
-    for which in (0, SLOTS):
-        turns.heard(4.1, QuotaLeaseMessage(False, whom, 9, asked.mark, 0, 1, asked.question, which))
-        assert len(turns.owned_slots(4.1)) == SLOTS
-        turns.asked[asked.mark] = PendingRequest(whom, 1, {asked.question: 4.0})
-    turns.heard(4.1, QuotaLeaseMessage(False, whom, 9, asked.mark, 0, 1, asked.question, 2))
+    for which in (0, SLOTS_PER_PROXY):
+        turns.on_message(
+            4.1, QuotaLeaseMessage(False, whom, 9, asked.correlation_id, 0, 1, asked.request_number, which)
+        )
+        assert len(turns.owned_slots(4.1)) == SLOTS_PER_PROXY
+        turns.pending_requests[asked.correlation_id] = PendingRequest(whom, 1, {asked.request_number: 4.0})
+    turns.on_message(
+        4.1, QuotaLeaseMessage(False, whom, 9, asked.correlation_id, 0, 1, asked.request_number, 2)
+    )
     assert (whom, 2) in turns.owned_slots(4.1)
     lender = RateSlots(0, 1, 6, 4, 0.0, 3.0, 0.01, Random(1))
-    lent = [lender.heard(4.0, QuotaLeaseMessage(True, 0, 5, mark, 0, 3)) for mark in range(5)]
+    lent = [lender.on_message(4.0, QuotaLeaseMessage(True, 0, 5, mark, 0, 3)) for mark in range(5)]
     assert [(word.units, word.slot) for word in lent] == [(1, 1), (1, 2), (1, 3), (0, 0), (0, 0)]
     assert lender.owned_slots(4.0) == {(1, 0)}
 
@@ -198,7 +203,7 @@
     for step in range(4000):
         now = 50.0 + step * 0.003
         for one in ones if now < 54.0 or now > 60.0 else ():
-            if one.due(now) <= now:
+            if one.due_at(now) <= now:
                 one.take(now)
                 sent.append(now)
     assert most_in_span(sent)[0] <= 60.0 * (1.0 + SLOT_LATENESS_S) + 1
@@ -214,17 +219,17 @@
     for step in range(3000):
         now = step * 0.01
         out = [end for end in out if end > now or flights.end(now, "c1")]
-        while flights.begin(now, "c1"):
+        while flights.try_begin(now, "c1"):
             out.append(now + chance.uniform(0.01, 0.5))
-        assert len(out) == 3 == flights.most()
-    assert flights.wanted(30.0) > 3.9
+        assert len(out) == 3 == flights.max_in_flight()
+    assert flights.demand(30.0) > 3.9
     few, held, ends = InFlightQuota(0.2, chance), 0.0, 0.0
     for step in range(6000):
         now = step * 0.01
         if ends and now >= ends:
             few.end(now, "c1")
             ends = 0.0
-        if not ends and few.begin(now, "c1"):
+        if not ends and few.try_begin(now, "c1"):
             ends = now + chance.uniform(0.01, 0.2)
         held += 0.01 * bool(ends)
     assert 0.15 * 60.0 <= held <= 0.2 * (60.0 + MAX_CREDIT_S) + 0.2
@@ -232,12 +237,12 @@
 
 def test_endpoint_with_exhausted_quota_is_not_degraded_and_next_one_is_used() -> None:
     desk = Lending(inFlight=4.0, lendS=None).spacious()
-    assert desk.proxy.upstreams.in_flight_quota.part == 1.0
+    assert desk.proxy.upstreams.in_flight_quota.share == 1.0
     client = desk.client()
     for _ in range(6):
         client.feed(ask("read", key=7))
     desk.loop.run(0.05)
-    counts = [one.out for one in desk.proxy.upstreams.in_flight_quota.caches.values()]
+    counts = [one.in_flight for one in desk.proxy.upstreams.in_flight_quota.endpoints.values()]
     assert max(counts) == 1
     assert sum(counts) == 3
     assert not desk.proxy.router.degraded_endpoints(desk.proxy.now_ms())
@@ -249,10 +254,10 @@
     client.feed(ask("read"))
     desk.loop.run(0.05)
     flights = desk.proxy.upstreams.in_flight_quota
-    assert flights.most() == 1
+    assert flights.max_in_flight() == 1
     client.abort()
     desk.loop.run(3.0)
-    assert flights.most() == 0
+    assert flights.max_in_flight() == 0
 
 
 def test_lease_that_ends_before_a_request_may_does_not_count() -> None:
@@ -264,16 +269,16 @@
         peer_messages.name_digest(IN_FLIGHT_LIMIT),
     )
     limits.refresh()
-    own = flights.part
+    own = flights.share
     assert own == pytest.approx(16.0)
     parts = limits.leases[one]
-    parts.borrowed[7] = BorrowedLease(1, UNITS // 8, desk.loop.time() + limits.longest_request_s + 0.5)
+    parts.borrowed_leases[7] = BorrowedLease(1, UNITS // 8, desk.loop.time() + limits.longest_request_s + 0.5)
     limits.refresh()
-    assert flights.part == pytest.approx(24.0)
+    assert flights.share == pytest.approx(24.0)
     desk.loop.run(0.6)
     limits.refresh()
-    assert flights.part == pytest.approx(16.0)
-    assert parts.part(desk.loop.time()) > UNITS // 4
+    assert flights.share == pytest.approx(16.0)
+    assert parts.usable_units(desk.loop.time()) > UNITS // 4
 
 
 def test_units_in_flight_are_not_lent() -> None:
@@ -283,7 +288,7 @@
     for key in range(40):
         client.feed(ask("read", key=key))
     desk.loop.run(0.02)
-    assert desk.proxy.upstreams.in_flight_quota.most() == 2
+    assert desk.proxy.upstreams.in_flight_quota.max_in_flight() == 2
     desk.limits.on_message(
         QuotaLeaseMessage(True, 2, 9, 77, peer_messages.name_digest(IN_FLIGHT_LIMIT), UNITS // 8)
     )
@@ -302,7 +307,7 @@
         client.feed(ask("read", key=key))
     desk.loop.run(0.01)
     desk.limits.wake()
-    asked = {word.limit for _, word in desk.said}
+    asked = {word.limit_id for _, word in desk.said}
     assert peer_messages.name_digest(ORIGIN_FETCH_SLOTS) in asked
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -16,12 +16,12 @@
 from calicofall.config.settings import normalize_settings
 from calicofall.fleet import settings_document, settings_fields
 from calicofall.fleet.settings_compatibility import (
-    both,
     broken_promises,
+    combine_settings,
     contradictions,
     has_no_place,
-    lapsed,
     publication_steps,
+    restrict_without_lease,
 )
 from calicofall.fleet.settings_document import InvalidDocument, parse_document, succession_errors
 from calicofall.routing.policy import RoutingPolicy
@@ -59,7 +59,7 @@
 
 def closes_a_method(before: Settings, after: Settings) -> bool:
     """Whether a method is left no place while some proxies act on each of two settings."""
-    return any(has_no_place(method) for method in both(before, after)["methods"])
+    return any(has_no_place(method) for method in combine_settings(before, after)["methods"])
 
 
 # Compatibility
@@ -85,7 +85,7 @@
         a = settings_with(read={name: older})
         b = settings_with(read={name: newer})
 
-        combined = both(a, b)["methods"][0]
+        combined = combine_settings(a, b)["methods"][0]
 
         for action in ACTIONS[name]:
             assert allows(combined, name, action) == (
@@ -100,7 +100,7 @@
     before = parse_document(document_text({"version": 2, "after": 1, "settings": a}))
     after = parse_document(document_text({"version": 3, "after": 2, "settings": b}))
 
-    assert both(a, b)["methods"][0]["gain"] == 9.0
+    assert combine_settings(a, b)["methods"][0]["gain"] == 9.0
     assert contradictions(a, b) == []
     assert "kinds: takes a restart" in succession_errors(before, after)
 
@@ -113,7 +113,7 @@
         "rules": COMMON_SETTINGS["rules"] | {"coldNs": 9, "startCapacity": 0.9},
     }
 
-    for combined in (both(a, b), both(b, a)):
+    for combined in (combine_settings(a, b), combine_settings(b, a)):
         assert combined["caps"]["mostTransmissions"] == 2
         assert combined["realms"][0]["quotaPerS"] == 3.0
         assert combined["rules"]["coldNs"] == 20_000_000_000
@@ -125,7 +125,7 @@
     a = settings_with(read={"failureDomainsOnly": ["a"]})
     b = settings_with(read={"failureDomainsOnly": ["b"]})
     wider = settings_with(read={"failureDomainsOnly": ["a", "c"]})
-    assert has_no_place(both(a, b)["methods"][0])
+    assert has_no_place(combine_settings(a, b)["methods"][0])
 
     plan = publication_steps(a, b)
 
@@ -174,7 +174,7 @@
 
 def test_settings_without_a_lease_allow_what_promises_allow() -> None:
     """Nothing is sent of a method that keeps no place; one that does goes on, unless it is refused."""
-    restricted = lapsed(
+    restricted = restrict_without_lease(
         settings_with(
             read={"keeps": ["place", "repeats"]},
             save={"keeps": ["place"]},
@@ -271,7 +271,7 @@
 def test_document_follows_one_version_and_changes_one_member_at_a_time() -> None:
     before = parse_document(document_text())
     assert succession_errors(before, parse_document(document_text({"version": 3, "after": 2}))) == []
-    assert before.bound == pytest.approx(2.0 * 1.02**2 + 0.3)
+    assert before.supersession_bound_s == pytest.approx(2.0 * 1.02**2 + 0.3)
 
     for changes, word in (
         ({"version": 4, "after": 3}, "after"),
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -358,7 +358,9 @@
     assert address == addresses[2]
     assert peer_messages.decode_message(data, "shop", 4) == answer
     peers.estimate_contention(fractions.append)
-    samples = {peer_messages.decode_message(data, "shop", 4).mark for data, _ in peers.transport.sent}
+    samples = {
+        peer_messages.decode_message(data, "shop", 4).correlation_id for data, _ in peers.transport.sent
+    }
     assert len(peers.transport.sent) == 3
     assert len(samples) == 1
     assert not fractions
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -9,7 +9,7 @@
 from calicofall.fleet.configuration_agreement import AgreementMessage
 from calicofall.startup import peer_messages
 
-OWN = {name: value for name, value in SETTINGS.items() if name not in settings_document.OWN}
+OWN = {name: value for name, value in SETTINGS.items() if name not in settings_document.PER_PROXY_SETTINGS}
 
 
 def paper(version: int, proxies: int = 2, **changes: dict) -> dict[str, Any]:
@@ -64,10 +64,17 @@
             self.loop.run(0.1)
             said, self.said = self.said, []
             for peer, word in said:
-                if answers and word.asks:
+                if answers and word.is_request:
                     self.versions.on_message(
                         AgreementMessage(
-                            False, peer, 40 + peer, word.mark, self.known, self.held, self.effect, True
+                            False,
+                            peer,
+                            40 + peer,
+                            word.correlation_id,
+                            self.known,
+                            self.held,
+                            self.effect,
+                            True,
                         )
                     )
         return self
@@ -202,6 +209,6 @@
     word = AgreementMessage(True, 1, 7, 9, 3, 3, 2, True)
     data = peer_messages.encode_message("shop", word)
     assert peer_messages.decode_message(data, "shop", 3) == word
-    for wrong in (word._replace(known=-1), word._replace(ready=1), word._replace(sender=5)):
+    for wrong in (word._replace(highest_known=-1), word._replace(grants_leases=1), word._replace(sender=5)):
         with pytest.raises(peer_messages.InvalidMessage, match="form"):
             peer_messages.decode_message(peer_messages.encode_message("shop", wrong), "shop", 3)
