--- a/tests/rogues.py
+++ b/tests/rogues.py
@@ -115,7 +115,7 @@
 
     leased_until = ConfigurationAgreement.leased_until
     ConfigurationAgreement.leased_until = lambda self, now: max(
-        leased_until(self, now), now + 100.0 if self.effect else 0.0
+        leased_until(self, now), now + 100.0 if self.effective_version else 0.0
     )
     configuration_sync.ConfigurationSync.refresh_if_due = lambda self: None
 
@@ -124,7 +124,9 @@
     """Never halts the canary of a version that fails."""
     from calicofall.fleet.canary import Canary
 
-    Canary.look = lambda self, now, counts: not self.seen and self.seen.append((now, counts))
+    Canary.observe = lambda self, now, counts: not self.count_history and self.count_history.append(
+        (now, counts)
+    )
 
 
 def tries_unasked() -> None:
@@ -133,7 +135,7 @@
 
     begin_canary = configuration_sync.ConfigurationSync.begin_canary
     configuration_sync.ConfigurationSync.begin_canary = lambda self, document, reasons: begin_canary(
-        self, document._replace(trial=document.trial._replace(members=(self.me,), span=20.0)), reasons
+        self, document._replace(canary=document.canary._replace(members=(self.me,), duration_s=20.0)), reasons
     )
 
 
@@ -141,11 +143,11 @@
     """Reports that all requests fail at every cache, and asks its peers about all caches all the time."""
     from calicofall.fleet.outlier_consensus import OutlierConsensus
 
-    build_evidence = OutlierConsensus._word
-    OutlierConsensus._word = lambda self, now, *arguments: build_evidence(self, now, *arguments)._replace(
-        well=0, badly=10_000, age=3_600_000
+    build_evidence = OutlierConsensus._make_message
+    OutlierConsensus._make_message = lambda self, now, *arguments: build_evidence(self, now, *arguments)._replace(
+        successes=0, failures=10_000, last_success_age_ms=3_600_000
     )
-    OutlierConsensus._open = lambda self, now, doubted: sorted(
+    OutlierConsensus._endpoints_to_query = lambda self, now, doubted: sorted(
         self.listed, key=lambda cache: self.random_generator.random()
     )
 
@@ -154,17 +156,17 @@
     """Sends requests that may need the origin at once, without waiting for an origin fetch slot."""
     from calicofall.fleet.rate_slots import OriginFetchSlots
 
-    OriginFetchSlots.due = lambda self, now: now
+    OriginFetchSlots.due_at = lambda self, now: now
 
 
 def sends_beyond_its_part() -> None:
     """Exceeds its part of the in-flight quota of a cache: sends every request."""
     from calicofall.fleet.in_flight_quota import InFlightQuota
 
-    begin = InFlightQuota.begin
-    InFlightQuota.begin = (
+    begin = InFlightQuota.try_begin
+    InFlightQuota.try_begin = (
         lambda self, now, name: begin(self, now, name)
-        or bool(setattr(self.caches[name], "out", self.caches[name].out + 1))
+        or bool(setattr(self.endpoints[name], "in_flight", self.endpoints[name].in_flight + 1))
         or True
     )
 
