--- a/calicofall/config/startup.py
+++ b/calicofall/config/startup.py
@@ -12,19 +12,19 @@
 
 # The names of the file, and those of the program.
 NAMES = {
-    "watchesPerS": "watches",
-    "handshakesPerS": "handshakes",
-    "connections": "connections",
-    "cachePerS": "bears",
-    "fetchesPerS": "fetches",
-    "inFlight": "flight",
-    "lendS": "lease",
-    "witnesses": "witnesses",
-    "fleet": "fleet",
-    "speak": "speak",
-    "peers": "peers",
-    "snapshot": "snapshot",
-    "snapshotAgeS": "oldest",
+    "watchesPerS": "list_watches_per_s",
+    "handshakesPerS": "handshakes_per_s",
+    "connections": "max_connections",
+    "cachePerS": "endpoint_capacity_per_s",
+    "fetchesPerS": "origin_fetches_per_s",
+    "inFlight": "max_in_flight",
+    "lendS": "quota_lease_s",
+    "witnesses": "shares_evidence",
+    "fleet": "fleet_name",
+    "speak": "gossip_address",
+    "peers": "peer_addresses",
+    "snapshot": "snapshot_folder",
+    "snapshotAgeS": "max_snapshot_age_s",
 }
 POSITIVE_NUMBERS = (
     "watchesPerS",
@@ -41,19 +41,19 @@
 class StartupSettings(TypedDict, total=False):
     """What the section says. A key that it does not say is not there."""
 
-    watches: float  # a second that the discovery service can begin
-    handshakes: float  # a second at an endpoint, over the fleet
-    connections: int  # at an endpoint, over the fleet
-    bears: float  # requests a second that a warm endpoint of weight 1 can do
-    fetches: float  # a second at the origin, over the fleet
-    flight: float  # requests in flight at an endpoint, over the fleet
-    lease: float  # seconds for which proxies lease quotas to each other
-    witnesses: bool  # whether proxies tell each other what they saw of endpoints
-    fleet: str  # its name
-    speak: tuple[str, int]  # our address for peer messages
-    peers: list[tuple[str, int]]  # the addresses of all proxies, by their numbers
-    snapshot: str  # the folder of snapshots
-    oldest: float  # seconds after which a snapshot is not used
+    list_watches_per_s: float  # a second that the discovery service can begin
+    handshakes_per_s: float  # a second at an endpoint, over the fleet
+    max_connections: int  # at an endpoint, over the fleet
+    endpoint_capacity_per_s: float  # requests a second that a warm endpoint of weight 1 can do
+    origin_fetches_per_s: float  # a second at the origin, over the fleet
+    max_in_flight: float  # requests in flight at an endpoint, over the fleet
+    quota_lease_s: float  # seconds for which proxies lease quotas to each other
+    shares_evidence: bool  # whether proxies tell each other what they saw of endpoints
+    fleet_name: str  # its name
+    gossip_address: tuple[str, int]  # our address for peer messages
+    peer_addresses: list[tuple[str, int]]  # the addresses of all proxies, by their numbers
+    snapshot_folder: str  # the folder of snapshots
+    max_snapshot_age_s: float  # seconds after which a snapshot is not used
 
 
 def parse_startup_settings(node: dict[str, Any]) -> StartupSettings:
@@ -72,14 +72,14 @@
     proxies = settings.get("balancers") or 1
     parsed = {ours: section[theirs] for theirs, ours in NAMES.items() if section.get(theirs) is not None}
     _validate_values(section, proxies)
-    parsed.setdefault("oldest", DEFAULT_SNAPSHOT_AGE_S)
-    if "speak" in parsed or "peers" in parsed:
+    parsed.setdefault("max_snapshot_age_s", DEFAULT_SNAPSHOT_AGE_S)
+    if "gossip_address" in parsed or "peer_addresses" in parsed:
         _validate_peers(section, proxies)
-        parsed["peers"] = [parse_address(peer) for peer in section["peers"]]
-        parsed["speak"] = parse_address(section["speak"])
+        parsed["peer_addresses"] = [parse_address(peer) for peer in section["peers"]]
+        parsed["gossip_address"] = parse_address(section["speak"])
     for name in NEED_PEERS:
         value = section.get(name)
-        valid = "speak" in parsed or value is None
+        valid = "gossip_address" in parsed or value is None
         require(f"start.{name}", value, valid, "nothing where proxies do not speak")
     return cast("StartupSettings", parsed)
 
--- a/calicofall/fleet/rate_slots.py
+++ b/calicofall/fleet/rate_slots.py
@@ -98,10 +98,10 @@
 
     def next(self, grid: TimeSlots, now: float, after: float) -> float:
         """The first moment (s) from `after` on of a slot that may be used here now."""
-        round_s = SLOTS * grid.period
+        round_s = SLOTS * grid.period_s
         round_start = self._round_start(grid)
         firsts = (
-            round_start + (owner + grid.turn) % self.proxies * grid.gap + slot * grid.period
+            round_start + (owner + grid.offset) % self.proxies * grid.gap_s + slot * grid.period_s
             for owner, slot in self.owned_slots(now)
         )
         return min(first + -((first - after) // round_s) * round_s for first in firsts)
@@ -110,14 +110,14 @@
         """Whether the slot at the moment `slot_at` may be used now; to be called right before the use."""
         if now > slot_at + SLOT_LATENESS_S:
             return False
-        index = round((slot_at - self._round_start(grid)) / grid.gap) % self.total
+        index = round((slot_at - self._round_start(grid)) / grid.gap_s) % self.total
         slot, place = divmod(index, self.proxies)
-        return ((place - grid.turn) % self.proxies, slot) in self.owned_slots(now)
+        return ((place - grid.offset) % self.proxies, slot) in self.owned_slots(now)
 
     @staticmethod
     def _round_start(grid: TimeSlots) -> float:
         """When the round began in which the time slots were set up."""
-        return grid.now - grid.wall % (SLOTS * grid.period)
+        return grid.created_at_s - grid.created_at_wall_s % (SLOTS * grid.period_s)
 
 
 class UnmetDemand:
@@ -160,7 +160,7 @@
             return self.returned_slots[0]
         self.turns.owned_slots(now)
         # Not before a slot was gained last: at its moment before that it was another proxy's.
-        since = max(now - SLOT_LATENESS_S, self.turns.gained_at, self.last_used_at + self.grid.gap / 2.0)
+        since = max(now - SLOT_LATENESS_S, self.turns.gained_at, self.last_used_at + self.grid.gap_s / 2.0)
         return self.turns.next(self.grid, now, since)
 
     def take(self, now: float) -> float:
@@ -180,4 +180,4 @@
 
     def wanted(self, now: float) -> float:
         """Slots of a round that would be used without a limit."""
-        return self.wishes.rate(now) * SLOTS * self.grid.period
+        return self.wishes.rate(now) * SLOTS * self.grid.period_s
--- a/calicofall/proxy/configuration_sync.py
+++ b/calicofall/proxy/configuration_sync.py
@@ -42,7 +42,7 @@
 
     def on_message(self, line: bytes) -> None:
         """Hands over one document."""
-        self.schedule.served()
+        self.schedule.reset_backoff()
         self.on_answer()
         if self.is_down:
             self.is_down = False
@@ -304,7 +304,7 @@
         document = settings_document.parse_document(orjson.dumps(node["document"]))
     except settings_document.InvalidDocument as error:
         raise ValueError(f"document: {str(error).partition(': ')[2]}") from None
-    if "speak" not in parse_startup_settings(node):
+    if "gossip_address" not in parse_startup_settings(node):
         raise ValueError("document: start.speak, start.peers and start.fleet are needed with it")
     if document.fleet != node["start"]["fleet"]:
         raise ValueError(f"document: fleet is {document.fleet!r}, start.fleet {node['start']['fleet']!r}")
--- a/calicofall/proxy/connection_pool.py
+++ b/calicofall/proxy/connection_pool.py
@@ -52,18 +52,18 @@
         """Makes one more connection, if there is room for it, and its turn comes within `patience_s`."""
         upstreams = self.upstreams
         quotas = upstreams.connection_quotas
-        max_connections = quotas.most
+        max_connections = quotas.max_connections
         if max_connections is None:
             max_connections = upstreams.max_per_endpoint + SPARE_CONNECTIONS
         address = self.address
         if address is None or len(self.connections) >= max_connections or not upstreams.has_room():
             return None
         now = upstreams.loop.time()
-        opens_at = quotas.begin(
+        opens_at = quotas.take_slot(
             self.name, self.order_offset, now, now + upstreams.common_clock_offset_s, patience_s > 0.0
         )
         if opens_at > now + patience_s:
-            quotas.back(self.name, opens_at)
+            quotas.return_slot(self.name, opens_at)
             return None
         connection = UpstreamConnection(self, address)
         self.connections[connection] = None
@@ -79,10 +79,10 @@
             return
         if connection.opens_at > now:
             upstreams.loop.call_at(connection.opens_at, self.open_when_due, connection)
-        elif upstreams.connection_quotas.lapsed(self.name, connection.opens_at, now):
+        elif upstreams.connection_quotas.is_slot_expired(self.name, connection.opens_at, now):
             # The process was stopped while it waited, or the turn is another proxy's by now. Proxies that
             # wake together would otherwise all open their connections at once.
-            connection.opens_at = upstreams.connection_quotas.begin(
+            connection.opens_at = upstreams.connection_quotas.take_slot(
                 self.name, self.order_offset, now, now + upstreams.common_clock_offset_s
             )
             self.open_when_due(connection)
--- a/calicofall/proxy/discovery.py
+++ b/calicofall/proxy/discovery.py
@@ -78,12 +78,12 @@
 
     def schedule_first_attempt(self) -> None:
         """Schedules an attempt by how many proxies are about to ask."""
-        if self.estimate_contention is not None and self.schedule.senses():
+        if self.estimate_contention is not None and self.schedule.depends_on_contention():
             self.estimate_contention(
-                lambda part: self.attempt_at(self.schedule.enter(self.loop.time(), part))
+                lambda part: self.attempt_at(self.schedule.first_attempt_at(self.loop.time(), part))
             )
         else:
-            self.attempt_at(self.schedule.enter(self.loop.time()))
+            self.attempt_at(self.schedule.first_attempt_at(self.loop.time()))
 
     def attempt_at(self, at: float) -> None:
         """Makes the next attempt at a time (s, the loop's clock), in place of one that was scheduled."""
@@ -96,7 +96,7 @@
 
     def attempt(self) -> None:
         """Opens a watch if none is open, or if it is to be opened anew; not before its turn."""
-        next_turn = self.schedule.due(self.loop.time())
+        next_turn = self.schedule.postponed_until(self.loop.time())
         if next_turn is None and self.reopening and self.watch is not None:
             watch = self.watch
             self.watch = None
@@ -144,7 +144,7 @@
         self, kind: str, index: int | None, entries: list[tuple[Any, ...]], addresses: dict[str, str]
     ) -> None:
         """A list ("full") or its changes ("delta"), with its version."""
-        self.schedule.served()
+        self.schedule.reset_backoff()
         self.on_answer()
         if self.is_down:
             self.is_down = False
@@ -172,12 +172,14 @@
         if watch.refused:
             # A service that refuses will tell nothing soon: the proxy starts with the list that it has.
             self.answered.set()
-            self.attempt_at(self.schedule.refused(self.loop.time(), watch.retry_after_s))
-        elif was_live and self.schedule.senses():
+            self.attempt_at(self.schedule.retry_at_after_refusal(self.loop.time(), watch.retry_after_s))
+        elif was_live and self.schedule.depends_on_contention():
             # The service has lost all its watches, perhaps, which would otherwise come back at once.
             self.schedule_first_attempt()
         else:
-            self.attempt_at(self.schedule.broke(self.loop.time(), self.loop.time() - watch.asked_at))
+            self.attempt_at(
+                self.schedule.retry_at_after_failure(self.loop.time(), self.loop.time() - watch.asked_at)
+            )
 
     def reopen(self, part: float) -> None:
         """Asks for the list again, since peers say that there is a later one.
@@ -189,7 +191,7 @@
         # could wait without end.
         if self.is_live and not self.reopening:
             self.reopening = True
-            self.attempt_at(self.schedule.enter(self.loop.time(), part))
+            self.attempt_at(self.schedule.first_attempt_at(self.loop.time(), part))
 
     def change_address(self, address: str) -> None:
         """Goes to another service; it has versions of its own, so that the whole list is asked for.
@@ -201,7 +203,7 @@
         self.address_pair = parse_address(address)
         self.host = address
         self.version = None
-        self.schedule.served()
+        self.schedule.reset_backoff()
         watch = self.watch
         self.watch = None
         if watch is not None:
--- a/calicofall/proxy/gossip_transport.py
+++ b/calicofall/proxy/gossip_transport.py
@@ -59,9 +59,13 @@
         self.on_agreement: Callable[[AgreementMessage], None] | None = None
         self.on_quota_lease: Callable[[QuotaLeaseMessage], None] | None = None
         self.on_evidence: Callable[[EvidenceMessage | KeyCountMessage], None] | None = None
-        self.list_freshness = ListFreshness(contention.me, incarnation, contention.proxies, contention.chance)
+        self.list_freshness = ListFreshness(
+            contention.proxy_number, incarnation, contention.proxies, contention.chance
+        )
         members = frozenset(range(contention.proxies))
-        self.membership = Membership(contention.me, incarnation, members, loop.time(), contention.chance)
+        self.membership = Membership(
+            contention.proxy_number, incarnation, members, loop.time(), contention.chance
+        )
         # Asks the service for the endpoint list once more; takes the part of peers that are behind, too.
         self.reopen_watch: Callable[[float], None] = lambda part: None
         self.list_timer: asyncio.TimerHandle | None = None
@@ -133,17 +137,17 @@
     def estimate_contention(self, on_estimate: Callable[[float], None]) -> None:
         """Asks a sample of peers; `on_estimate` is told the part of the fleet that waits for a list."""
         self.on_estimate = on_estimate
-        mark, peers = self.contention.ask(self.loop.time())
+        mark, peers = self.contention.begin_sample(self.loop.time())
         if self.estimate_timer is not None:
             self.estimate_timer.cancel()
-        self.estimate_timer = self.loop.call_at(self.contention.until, self.finish_estimate)
+        self.estimate_timer = self.loop.call_at(self.contention.sample_ends_at_s, self.finish_estimate)
         for peer in peers:
             self.send(peer, self._startup_message(True, mark))
         self.finish_estimate()
 
     def finish_estimate(self) -> None:
         """Hands over the estimate once the answers suffice or the time for them is over."""
-        part = self.contention.known(self.loop.time())
+        part = self.contention.waiting_fraction(self.loop.time())
         if part is None or self.on_estimate is None:
             return
         on_estimate = self.on_estimate
@@ -165,7 +169,7 @@
         """
         try:
             message = peer_messages.decode_message(data, self.fleet, self.contention.proxies)
-        except peer_messages.InvalidMessage as error:
+        except peer_messages.InvalidMessageError as error:
             self.count_dropped(str(error))
             return
         self._dispatch(message)
@@ -201,13 +205,15 @@
     def _on_startup_message(self, message: peer_messages.StartupMessage) -> None:
         if message.asks:
             self.send(message.sender, self._startup_message(False, message.mark))
-        elif self.contention.told(message.mark, message.sender, message.served):
+        elif self.contention.count_answer(message.mark, message.sender, message.has_watch):
             self.finish_estimate()
         else:
             self.count_dropped("unasked")
 
     def _startup_message(self, asks: bool, mark: int) -> peer_messages.StartupMessage:
-        return peer_messages.StartupMessage(asks, self.contention.me, self.incarnation, mark, self.has_list())
+        return peer_messages.StartupMessage(
+            asks, self.contention.proxy_number, self.incarnation, mark, self.has_list()
+        )
 
     def error_received(self, exc: Exception) -> None:
         """Ignores that a peer is down: its silence says the same."""
--- a/calicofall/proxy/server.py
+++ b/calicofall/proxy/server.py
@@ -124,12 +124,12 @@
         self.process_lock: ProcessLock | None = None
         me, proxies = deployment.get("me") or 0, deployment.get("proxies") or 1
         # Random draws of its own: the router's are for its decisions alone.
-        chance, room_told = Random(seed + 1), self.startup.get("watches")
+        chance, room_told = Random(seed + 1), self.startup.get("list_watches_per_s")
         # Names this incarnation: an answer to a former one is not for us.
-        life = chance.getrandbits(48) if "speak" in self.startup else 0
+        life = chance.getrandbits(48) if "gossip_address" in self.startup else 0
 
         def turns(name: str) -> RateSlots:
-            lease = self.startup.get("lease", 0.0)
+            lease = self.startup.get("quota_lease_s", 0.0)
             return RateSlots(
                 peer_messages.name_digest(name),
                 me,
@@ -144,11 +144,11 @@
         self.connection_quotas = ConnectionQuotas(
             me,
             proxies,
-            self.startup.get("handshakes"),
-            self.startup.get("connections"),
-            self.startup.get("bears"),
+            self.startup.get("handshakes_per_s"),
+            self.startup.get("max_connections"),
+            self.startup.get("endpoint_capacity_per_s"),
             deployment["rules"].get("fall_multiple"),
-            turns(HANDSHAKE_SLOTS) if "lease" in self.startup else None,
+            turns(HANDSHAKE_SLOTS) if "quota_lease_s" in self.startup else None,
         )
         self.recorder: Any = None
         told = segment_writer.parse_record_settings(node)
@@ -157,18 +157,23 @@
 
             self.recorder = Recorder(loop, told, node["name"], f"{time.time_ns():x}", time.time)
             self.router: Router = self.recorder.make(
-                deployment | {"bears": self.connection_quotas.bears},
+                deployment | {"bears": self.connection_quotas.capacity_share_per_ms},
                 seed,
                 self.now_ms(),
-                "fetches" in self.startup,
+                "origin_fetches_per_s" in self.startup,
                 self.wall_clock_offset_ms,
             )
         else:
-            self.router = Router(deployment | {"bears": self.connection_quotas.bears}, seed, self.now_ms())
-        if "fetches" in self.startup:
+            self.router = Router(
+                deployment | {"bears": self.connection_quotas.capacity_share_per_ms}, seed, self.now_ms()
+            )
+        if "origin_fetches_per_s" in self.startup:
             self.router.slot_clock_offset_ms = self.wall_clock_offset_ms
             self.router.origin_slots = OriginFetchSlots(
-                turns(ORIGIN_FETCH_SLOTS), self.startup["fetches"], loop.time(), self.now_ms() / 1000.0
+                turns(ORIGIN_FETCH_SLOTS),
+                self.startup["origin_fetches_per_s"],
+                loop.time(),
+                self.now_ms() / 1000.0,
             )
         self.configuration_sync: configuration_sync.ConfigurationSync | None = None
         # In a large fleet, proxies that each held connections to every endpoint would make their handshakes
@@ -209,12 +214,14 @@
         self.upstreams.shared_budget_has_room = self.clients.make_room
         known, learned = node.get("known") or {}, {}
         self.snapshot_store: SnapshotStore | None = None
-        if "snapshot" in self.startup:
+        if "snapshot_folder" in self.startup:
             self.snapshot_store = SnapshotStore(
-                loop, self.startup["snapshot"], node["name"], self.encode_snapshot
+                loop, self.startup["snapshot_folder"], node["name"], self.encode_snapshot
             )
             whose = snapshot.snapshot_owner(node["name"], node["settings"], node["discovery"])
-            if (held := self.snapshot_store.load(whose, wall, self.startup["oldest"])) is not None:
+            if (
+                held := self.snapshot_store.load(whose, wall, self.startup["max_snapshot_age_s"])
+            ) is not None:
                 known, learned = held
         grid = TimeSlots(me, proxies, room_told, loop.time(), wall) if room_told else None
         line = DiscoverySchedule(
@@ -231,25 +238,25 @@
             self.reach_phase,
         )
         self.gossip: GossipTransport | None = None
-        if "speak" in self.startup:
+        if "gossip_address" in self.startup:
             self.gossip = GossipTransport(
                 loop,
                 ContentionEstimate(me, proxies, room_told, chance),
-                self.startup["fleet"],
+                self.startup["fleet_name"],
                 life,
-                self.startup["peers"],
+                self.startup["peer_addresses"],
                 lambda: self.discovery.is_live,
             )
             self.discovery.estimate_contention = self.gossip.estimate_contention
             self.gossip.reopen_watch = self.discovery.reopen
         self.quotas: QuotaEnforcement | None = None
-        hold = self.startup.get("flight", 0.0)
+        hold = self.startup.get("max_in_flight", 0.0)
         if hold:
             self.upstreams.in_flight_quota = InFlightQuota(hold / proxies, chance)
-        if "lease" in self.startup:
+        if "quota_lease_s" in self.startup:
             lent = (
-                {HANDSHAKE_SLOTS: (self.connection_quotas.turns, self.connection_quotas.wanted)}
-                if self.connection_quotas.handshakes
+                {HANDSHAKE_SLOTS: (self.connection_quotas.rate_slots, self.connection_quotas.demanded_slots)}
+                if self.connection_quotas.handshakes_per_s
                 else {}
             )
             if self.router.origin_slots is not None:
@@ -259,9 +266,9 @@
                 me,
                 life,
                 proxies,
-                self.startup["lease"],
+                self.startup["quota_lease_s"],
                 chance,
-                self.startup.get("bears"),
+                self.startup.get("endpoint_capacity_per_s"),
                 deployment["rules"],
                 lambda: len(self.upstreams.endpoint_names),
                 self.gossip.send,
@@ -274,8 +281,8 @@
             )
             self.gossip.on_quota_lease = self.quotas.on_message
         self.outliers: OutlierReports | None = None
-        if self.startup.get("witnesses"):
-            bears = self.startup.get("bears")
+        if self.startup.get("shares_evidence"):
+            bears = self.startup.get("endpoint_capacity_per_s")
             self.outliers = OutlierReports(
                 loop,
                 me,
@@ -355,7 +362,7 @@
 
     def reach_phase(self, phase: str) -> None:
         """Logs that the start has come as far as this phase, once each."""
-        ms = self.phases.reach(phase, self.loop.time())
+        ms = self.phases.mark_reached(phase, self.loop.time())
         if ms is not None:
             log.info("start", extra={"phase": phase, "ms": ms})
 
@@ -529,7 +536,7 @@
         self.forget(call)
         if reply is not None:
             self.metrics.count_answer(rpc.answer, rpc.name)
-            if rpc.answer == "completed" and "first RPC" not in self.phases.reached:
+            if rpc.answer == "completed" and "first RPC" not in self.phases.elapsed_ms_by_phase:
                 self.reach_phase("first RPC")
             self.latency_histograms[rpc.name].record_value(
                 max(1, round((call.streaming_began_at or now) - rpc.arrived_at))
@@ -678,7 +685,7 @@
             UPKEEP_INTERVAL_S, self.upkeep
         )  # first, so that a fault below does not end all upkeep
         self.adjust_to_processes()
-        if "limits found" not in self.phases.reached and self.router.has_baselines():
+        if "limits found" not in self.phases.elapsed_ms_by_phase and self.router.has_baselines():
             self.reach_phase("limits found")
         self.upstreams.retire_idle()
         self.clients.close_overdue()
@@ -728,7 +735,7 @@
     async def run(self) -> None:
         """Starts all parts, opens the listener once there is a list, and waits for the end."""
         if self.gossip is not None:
-            await self.gossip.open(self.startup["speak"])
+            await self.gossip.open(self.startup["gossip_address"])
         if self.configuration_sync is not None:
             self.configuration_sync.start()
         for part in (self.quotas, self.outliers):
@@ -829,7 +836,7 @@
         """What the part of that name has to tell; None for another call, or a part that is not there."""
         sources: dict[str, Callable[[], list[str]]] = {
             "counters": self.metrics.format_lines,
-            "phases": self.phases.lines,
+            "phases": self.phases.format_lines,
         }
         if self.gossip is not None:
             membership = self.gossip.membership
--- a/calicofall/proxy/snapshot_store.py
+++ b/calicofall/proxy/snapshot_store.py
@@ -56,11 +56,11 @@
         """
         try:
             with open(self.path, "rb") as file:
-                data = file.read(snapshot.LARGEST + 1)
+                data = file.read(snapshot.MAX_FILE_BYTES + 1)
             endpoint_list, learned, age = snapshot.decode_snapshot(data, owner, wall_clock_s, max_age_s)
         except FileNotFoundError:
             return None
-        except (OSError, snapshot.UnusableSnapshot) as error:
+        except (OSError, snapshot.UnusableSnapshotError) as error:
             reason = getattr(error, "strerror", None) or error
             log.warning("snapshot not used", extra={"file": self.path, "reason": reason})
             return None
--- a/calicofall/proxy/upstream.py
+++ b/calicofall/proxy/upstream.py
@@ -146,7 +146,7 @@
                 if not pool.connections:
                     del self.pools[name]
         self.entries = {name: entry for name, entry in self.entries.items() if name in self.endpoint_names}
-        self.connection_quotas.keep(self.endpoint_names)
+        self.connection_quotas.retain_endpoints(self.endpoint_names)
         if self.in_flight_quota is not None:
             self.in_flight_quota.keep(self.endpoint_names)
         self.share_budget()
@@ -204,9 +204,9 @@
                 return command
             command.in_flight_endpoint = name
         quotas = self.connection_quotas
-        connection = pool.acquire(quotas.patience(min(objective_left_ms, timeout_ms) / 1000.0))
+        connection = pool.acquire(quotas.max_wait_s(min(objective_left_ms, timeout_ms) / 1000.0))
         if connection is None:
-            has_quota = quotas.handshakes is not None or quotas.most is not None
+            has_quota = quotas.handshakes_per_s is not None or quotas.max_connections is not None
             self.loop.call_soon(self.finish, command, "held" if has_quota else "unconnected")
             return command
         connection.send(command)
--- a/calicofall/simulator_adapter/codec.py
+++ b/calicofall/simulator_adapter/codec.py
@@ -70,6 +70,6 @@
     return orjson.dumps(message)
 
 
-def ns(ms: float) -> int:
+def ms_to_ns(ms: float) -> int:
     """Milliseconds as whole nanoseconds, which are never negative."""
     return max(0, round(ms * NS_PER_MS))
--- a/calicofall/simulator_adapter/host.py
+++ b/calicofall/simulator_adapter/host.py
@@ -22,12 +22,12 @@
     WRITE,
     MalformedMessageError,
     encode_message,
-    ns,
+    ms_to_ns,
     parse_endpoint,
     parse_message,
 )
 
-TICK = 0  # the token of the one timer of an instance
+TIMER_TOKEN = 0  # the token of the one timer of an instance
 
 
 class Proxy:
@@ -37,34 +37,34 @@
 
     Args:
         number: The number of the instance on the wire.
-        nonce: The seed of the router.
+        seed: The seed of the router.
         settings: The settings, in the form of the operators' file.
         now: The simulated time, in milliseconds.
-        out: The lines that go to the simulator at the end of the batch.
+        output_lines: The lines that go to the simulator at the end of the batch.
     """
 
     def __init__(
-        self, number: int, nonce: int, settings: dict[str, Any], now: float, out: list[bytes]
+        self, number: int, seed: int, settings: dict[str, Any], now: float, output_lines: list[bytes]
     ) -> None:
         self.number = number
-        self.out = out
-        self.router = Router(normalize_settings(settings), nonce, now)
-        self.tick_at = inf
+        self.output_lines = output_lines
+        self.router = Router(normalize_settings(settings), seed, now)
+        self.timer_due_at = inf
 
-    def put(self, name: str, *values: Any) -> None:
+    def send_message(self, name: str, *values: Any) -> None:
         """Sends a message of this instance."""
-        self.out.append(encode_message([name, self.number, *values]))
+        self.output_lines.append(encode_message([name, self.number, *values]))
 
-    def act(self, rpc: Request, cache: str | None) -> None:
+    def send_decision(self, rpc: Request, cache: str | None) -> None:
         """Sends what was decided for a request: an attempt at an endpoint, or its end."""
         if cache is not None:
-            self.put("PassOn", rpc.id, cache, ns(rpc.timeout_ms))
+            self.send_message("PassOn", rpc.id, cache, ms_to_ns(rpc.timeout_ms))
         elif rpc.answer == "exhausted":
-            self.put("NotNow", rpc.id, ns(rpc.retry_after_ms))
+            self.send_message("NotNow", rpc.id, ms_to_ns(rpc.retry_after_ms))
         elif rpc.answer == "errored":
-            self.put("Surrender", rpc.id)
+            self.send_message("Surrender", rpc.id)
 
-    def knock(  # noqa: PLR0913 - the values of the wire's message
+    def on_request(  # noqa: PLR0913 - the values of the wire's message
         self,
         now: float,
         request_id: str,
@@ -82,9 +82,9 @@
         request = Request(request_id, method, tenant, key, write, now, expires_at_ns / NS_PER_MS, is_retry)
         if flags & HAS_WORK_ESTIMATE:
             request.estimated_work_ms = (work_ns or 0) / NS_PER_MS
-        self.act(request, self.router.route(now, request))
+        self.send_decision(request, self.router.route(now, request))
 
-    def reply(  # noqa: PLR0913 - the values of the wire's message
+    def on_attempt_ended(  # noqa: PLR0913 - the values of the wire's message
         self,
         now: float,
         request_id: str,
@@ -112,7 +112,7 @@
             complete,
         )
         if not finished:
-            self.act(request, endpoint)
+            self.send_decision(request, endpoint)
 
     def on_response_started(
         self, now: float, request_id: str, _attempt: int, _endpoint: str, _took_ns: int
@@ -127,18 +127,20 @@
         request = self.router.active_requests.get(request_id)
         if request is not None:
             for attempt in self.router.on_client_disconnected(now, request):
-                self.put("Recall", request_id, attempt)
+                self.send_message("Recall", request_id, attempt)
 
-    def registry(self, now: float, kind: int, version: int | None, lines: list[list[Any]] | None) -> None:
+    def on_endpoint_list(
+        self, now: float, kind: int, version: int | None, lines: list[list[Any]] | None
+    ) -> None:
         """An endpoint list, changes of it, or word that it could not be had."""
         entries = [parse_endpoint(line) for line in lines or []]
         self.router.on_endpoint_list(now, LIST_KINDS.get(kind, "delta"), version, entries)
 
-    def timeoutfired(self, now: float, _token: int) -> None:
+    def on_timer(self, now: float, _token: int) -> None:
         """The timer is due."""
-        self.tick_at = inf
+        self.timer_due_at = inf
         while (request := self.router.next_due_request(now)) is not None:
-            self.act(request, self.router.route(now, request))
+            self.send_decision(request, self.router.route(now, request))
 
     def on_health_check_result(
         self, now: float, _endpoint: str, _took_ns: int, _code: int, _load_report: Any
@@ -152,33 +154,33 @@
         except ValueError:
             return
 
-    def settle(self, now: float) -> None:
+    def end_batch(self, now: float) -> None:
         """Ends a batch: what the router logs, its actions, and the timer."""
         wait = self.router.tick(now)
         for line in self.router.log_lines:
-            self.put("Print", line)
+            self.send_message("Print", line)
         for action in self.router.actions:
             if isinstance(action, PollEndpointList):
-                self.put("Watch", True)
+                self.send_message("Watch", True)
             elif isinstance(action, CloseConnections):
-                self.put("LetGo", action.endpoint)
+                self.send_message("LetGo", action.endpoint)
             elif isinstance(action, SendGossip):
-                self.put("MemoTo", action.peer, b64encode(action.message).decode())
+                self.send_message("MemoTo", action.peer, b64encode(action.message).decode())
         self.router.log_lines.clear()
         self.router.actions.clear()
-        if now + wait < self.tick_at - SLACK:
-            self.tick_at = now + wait
-            self.put("Remind", ns(wait), TICK)
+        if now + wait < self.timer_due_at - SLACK:
+            self.timer_due_at = now + wait
+            self.send_message("Remind", ms_to_ns(wait), TIMER_TOKEN)
 
 
 # The events of the wire.
 EVENT_HANDLERS: dict[str, Callable[..., None]] = {
-    "Knock": Proxy.knock,
-    "Reply": Proxy.reply,
+    "Knock": Proxy.on_request,
+    "Reply": Proxy.on_attempt_ended,
     "AckFirst": Proxy.on_response_started,
     "Lapsed": Proxy.on_client_disconnected,
-    "Registry": Proxy.registry,
-    "TimeoutFired": Proxy.timeoutfired,
+    "Registry": Proxy.on_endpoint_list,
+    "TimeoutFired": Proxy.on_timer,
     "ProbeDone": Proxy.on_health_check_result,
     "Mail": Proxy.on_gossip,
 }
@@ -204,8 +206,8 @@
         self.sink = sink
         self.now = 0.0  # simulated milliseconds
         self.proxies: dict[int, Proxy] = {}
-        self.touched: dict[int, Proxy] = {}  # instances that have had an event in this batch
-        self.out: list[bytes] = []
+        self.proxies_in_batch: dict[int, Proxy] = {}  # instances that have had an event in this batch
+        self.output_lines: list[bytes] = []
 
     def handle(self, number: int, name: str, values: list[Any]) -> None:
         """Handles one message.
@@ -237,14 +239,14 @@
         number = values[0]
         self._guard(number, self._create, values)
         if number in self.proxies:
-            self.touched[number] = self.proxies[number]
+            self.proxies_in_batch[number] = self.proxies[number]
 
     def _create(self, values: list[Any]) -> None:
-        self.proxies[values[0]] = Proxy(values[0], values[1], values[2], self.now, self.out)
+        self.proxies[values[0]] = Proxy(values[0], values[1], values[2], self.now, self.output_lines)
 
     def _end_instance(self, number: int) -> None:
         self.proxies.pop(number, None)
-        self.touched.pop(number, None)
+        self.proxies_in_batch.pop(number, None)
 
     def _handle_event(self, line_number: int, name: str, values: list[Any]) -> None:
         number = values[0]
@@ -254,16 +256,16 @@
         proxy = self.proxies[number]
         # Values at the end may be left out, and later versions of the protocol may have more of them.
         given = values[1 : handler.values + 1] + [None] * (handler.values + 1 - len(values))
-        self.touched[number] = proxy
+        self.proxies_in_batch[number] = proxy
         self._guard(number, handler.method, proxy, self.now, *given)
 
     def _end_batch(self) -> None:
-        for number, proxy in self.touched.items():
-            self._guard(number, proxy.settle, self.now)
-        self.touched.clear()
-        self.sink.write(b"\n".join([*self.out, b'["Done"]\n']))
+        for number, proxy in self.proxies_in_batch.items():
+            self._guard(number, proxy.end_batch, self.now)
+        self.proxies_in_batch.clear()
+        self.sink.write(b"\n".join([*self.output_lines, b'["Done"]\n']))
         self.sink.flush()
-        self.out.clear()
+        self.output_lines.clear()
 
     def _guard(self, number: int, call: Callable[..., None], *values: Any) -> None:
         """Calls an instance; an exception there goes to the simulator in the wire's own message for it."""
@@ -271,7 +273,7 @@
             call(*values)
         except Exception as error:
             reason = f"{type(error).__name__}: {error} at {_place(error)}"
-            self.out.append(encode_message(["Exception", number, reason]))
+            self.output_lines.append(encode_message(["Exception", number, reason]))
 
 
 def _place(error: Exception) -> str:
--- a/calicofall/startup/connection_quotas.py
+++ b/calicofall/startup/connection_quotas.py
@@ -24,7 +24,7 @@
     """The time slots of one endpoint, and the slot that was taken last."""
 
     time_slots: TimeSlots
-    taken_at_s: float = -inf
+    last_taken_at_s: float = -inf
 
 
 class ConnectionQuotas:
@@ -53,17 +53,19 @@
     ) -> None:
         self._number = number
         self._proxies = max(1, proxies)
-        self.handshakes = handshakes_per_s
-        self.turns = rate_slots or RateSlots(0, number, 0, self._proxies, 0.0, 0.0, 0.0, Random(number))
-        self.most = connections // self._proxies if connections is not None else None
+        self.handshakes_per_s = handshakes_per_s
+        self.rate_slots = rate_slots or RateSlots(0, number, 0, self._proxies, 0.0, 0.0, 0.0, Random(number))
+        self.max_connections = connections // self._proxies if connections is not None else None
         # Requests a millisecond and unit of weight. The router admits `overload_factor` times an endpoint's
         # share of them while it warms up. Without a figure, a fleet that is all new sends every endpoint that
         # warms up three requests a second in all, whatever it could do.
-        self.bears = (capacity_per_s or 0.0) / 1000.0 / self._proxies / (overload_factor or 1.0)
-        self.slots: dict[str, HandshakeSlots] = {}
+        self.capacity_share_per_ms = (
+            (capacity_per_s or 0.0) / 1000.0 / self._proxies / (overload_factor or 1.0)
+        )
+        self.slots_by_endpoint: dict[str, HandshakeSlots] = {}
         self._demand: dict[str, UnmetDemand] = {}  # handshakes, were there no limit
 
-    def begin(self, name: str, offset: int, now: float, wall: float, needed: bool = True) -> float:
+    def take_slot(self, name: str, offset: int, now: float, wall: float, needed: bool = True) -> float:
         """Takes the next handshake slot of an endpoint and returns its time, in seconds.
 
         Args:
@@ -73,42 +75,48 @@
             wall: The common clock, in seconds.
             needed: Whether a request needs the connection, which counts as demand.
         """
-        if self.handshakes is None:
+        if self.handshakes_per_s is None:
             return now
-        slots = self.slots.get(name)
+        slots = self.slots_by_endpoint.get(name)
         if slots is None:
-            slots = HandshakeSlots(TimeSlots(self._number, self._proxies, self.handshakes, now, wall, offset))
-        slot = self.turns.next(slots.time_slots, now, max(now, slots.taken_at_s + slots.time_slots.gap / 2.0))
-        slots.taken_at_s = slot
-        self.slots[name] = slots
+            slots = HandshakeSlots(
+                TimeSlots(self._number, self._proxies, self.handshakes_per_s, now, wall, offset)
+            )
+        slot = self.rate_slots.next(
+            slots.time_slots, now, max(now, slots.last_taken_at_s + slots.time_slots.gap_s / 2.0)
+        )
+        slots.last_taken_at_s = slot
+        self.slots_by_endpoint[name] = slots
         if needed:
             self._demand.setdefault(name, UnmetDemand()).add(now)
         return slot
 
-    def back(self, name: str, slot: float) -> None:
+    def return_slot(self, name: str, slot: float) -> None:
         """Gives back the slot that was taken last, if it is not needed."""
-        slots = self.slots.get(name)
-        if slots is not None and slots.taken_at_s == slot:
-            slots.taken_at_s = slot - slots.time_slots.gap
+        slots = self.slots_by_endpoint.get(name)
+        if slots is not None and slots.last_taken_at_s == slot:
+            slots.last_taken_at_s = slot - slots.time_slots.gap_s
 
-    def lapsed(self, name: str, slot: float, now: float) -> bool:
+    def is_slot_expired(self, name: str, slot: float, now: float) -> bool:
         """Whether a slot may no longer be used: it is over, or leased to another proxy by now."""
-        slots = self.slots.get(name)
-        return slots is not None and not self.turns.mine(slots.time_slots, slot, now)
+        slots = self.slots_by_endpoint.get(name)
+        return slots is not None and not self.rate_slots.mine(slots.time_slots, slot, now)
 
-    def wanted(self, now: float) -> float:
+    def demanded_slots(self, now: float) -> float:
         """Slots of a round that would be used at the busiest endpoint, were there no limit."""
-        if self.handshakes is None:
+        if self.handshakes_per_s is None:
             return 0.0
         rate = max((demand.rate(now) for demand in self._demand.values()), default=0.0)
-        return rate * SLOTS * self._proxies / self.handshakes
+        return rate * SLOTS * self._proxies / self.handshakes_per_s
 
-    def keep(self, names: set[str]) -> None:
+    def retain_endpoints(self, names: set[str]) -> None:
         """Forgets all endpoints but these."""
-        self.slots = {name: slots for name, slots in self.slots.items() if name in names}
+        self.slots_by_endpoint = {
+            name: slots for name, slots in self.slots_by_endpoint.items() if name in names
+        }
         self._demand = {name: demand for name, demand in self._demand.items() if name in names}
 
     @staticmethod
-    def patience(left_s: float) -> float:
+    def max_wait_s(left_s: float) -> float:
         """How long a request waits for a slot (seconds), of what is left of its latency objective."""
         return max(0.0, left_s * MAX_WAIT_FRACTION)
--- a/calicofall/startup/contention.py
+++ b/calicofall/startup/contention.py
@@ -32,38 +32,38 @@
     """One sample of peers at a time: whom it asks, what they answered, and until when it waits."""
 
     def __init__(self, number: int, proxies: int, rate: float, random: Random) -> None:
-        self.me = number
+        self.proxy_number = number
         self.proxies = proxies
         self.chance = random
         self._sample_size = sample_size(proxies, rate)
-        self.mark = 0  # identifies the current sample
-        self.until = 0.0  # when the current sample ends, in seconds
+        self.sample_id = 0  # identifies the current sample
+        self.sample_ends_at_s = 0.0  # when the current sample ends, in seconds
         self._unanswered: set[int] = set()
         self._served = 0
         self._sampled = 0
 
-    def ask(self, now: float) -> tuple[int, list[int]]:
+    def begin_sample(self, now: float) -> tuple[int, list[int]]:
         """Begins a sample and returns its identifier and the numbers of the peers to ask."""
         drawn = self.chance.sample(range(self.proxies - 1), self._sample_size)
-        peers = [number + (number >= self.me) for number in drawn]
-        self.mark = self.chance.getrandbits(48)
-        self.until = now + ANSWER_TIMEOUT_S
+        peers = [number + (number >= self.proxy_number) for number in drawn]
+        self.sample_id = self.chance.getrandbits(48)
+        self.sample_ends_at_s = now + ANSWER_TIMEOUT_S
         self._unanswered = set(peers)
         self._served = 0
         self._sampled = len(peers)
-        return self.mark, peers
+        return self.sample_id, peers
 
-    def told(self, sample: int, peer: int, has_watch: bool) -> bool:
+    def count_answer(self, sample: int, peer: int, has_watch: bool) -> bool:
         """Counts a peer's answer; False if it is repeated or of another sample."""
-        if sample != self.mark or peer not in self._unanswered:
+        if sample != self.sample_id or peer not in self._unanswered:
             return False
         self._unanswered.discard(peer)
         self._served += has_watch
         return True
 
-    def known(self, now: float) -> float | None:
+    def waiting_fraction(self, now: float) -> float | None:
         """The part of the fleet that waits for the service, or None while answers may still come."""
-        if self._unanswered and now < self.until:
+        if self._unanswered and now < self.sample_ends_at_s:
             return None
         if not self._sampled:
             return 0.0
--- a/calicofall/startup/discovery_schedule.py
+++ b/calicofall/startup/discovery_schedule.py
@@ -54,7 +54,7 @@
         slots: TimeSlots | None = None,
     ) -> None:
         self._random = random
-        self.grid = slots
+        self.time_slots = slots
         # Without backoffs that grow with the fleet, proxies that all lost their watch at once would keep an
         # overloaded service busy with refusals.
         self._first_backoff_s = FIRST_BACKOFF_S_PER_PROXY * proxies
@@ -63,11 +63,11 @@
         self._refusals = 0  # in a row
         self._slot: float | None = None  # the time slot of the next attempt
 
-    def senses(self) -> bool:
+    def depends_on_contention(self) -> bool:
         """Whether it matters how many proxies wait: not where the service has capacity for all at once."""
-        return self.grid is not None and self.grid.period > SHORT_PERIOD_S
+        return self.time_slots is not None and self.time_slots.period_s > SHORT_PERIOD_S
 
-    def enter(self, now: float, waiting: float = 1.0) -> float:
+    def first_attempt_at(self, now: float, waiting: float = 1.0) -> float:
         """When to make a first attempt, or one after a lost watch, in seconds.
 
         Args:
@@ -75,16 +75,16 @@
             waiting: The part of the fleet that waits, too.
         """
         self._slot = None
-        if self.grid is None or waiting <= 0.0 or not self.senses():
+        if self.time_slots is None or waiting <= 0.0 or not self.depends_on_contention():
             return now
-        self._slot = self.grid.next(now, 2.0 * waiting)
+        self._slot = self.time_slots.next_slot_at(now, 2.0 * waiting)
         return self._slot
 
-    def broke(self, now: float, took_s: float = 0.0) -> float:
+    def retry_at_after_failure(self, now: float, took_s: float = 0.0) -> float:
         """When to try again (seconds) after a watch broke off, or nobody answered, after `took_s`."""
-        if self.grid is not None and self.senses():
+        if self.time_slots is not None and self.depends_on_contention():
             # Without slots here, the whole fleet would keep asking a service that answers nothing.
-            self._slot = self.grid.next(now + self.grid.gap / 2)
+            self._slot = self.time_slots.next_slot_at(now + self.time_slots.gap_s / 2)
             return self._slot
         # A service that was silent gets a short pause: it may come back at any time, and what it tells then
         # is binding at once. One that fails at once is overloaded, and the pause grows.
@@ -95,11 +95,11 @@
             self._pause_s = min(limit_s, max(REOPEN_PAUSE_S, self._pause_s * 2))
         return now + self._pause_s * self._random.uniform(JITTER_LOW, JITTER_HIGH)
 
-    def refused(self, now: float, retry_after_s: float = 0.0) -> float:
+    def retry_at_after_refusal(self, now: float, retry_after_s: float = 0.0) -> float:
         """When to try again (seconds) after a refusal, which may tell how long to stay away (Retry-After)."""
         self._refusals += 1
-        if self.grid is not None:
-            self._slot = self.grid.next(now + max(retry_after_s, self.grid.gap / 2))
+        if self.time_slots is not None:
+            self._slot = self.time_slots.next_slot_at(now + max(retry_after_s, self.time_slots.gap_s / 2))
             return self._slot
         self._pause_s = min(self._max_backoff_s, max(self._first_backoff_s, self._pause_s * 2))
         # Without a wide first span, proxies refused in the same second would ask in the same second again.
@@ -107,15 +107,19 @@
         backoff_s = self._pause_s * self._random.uniform(low, JITTER_HIGH)
         return now + max(min(retry_after_s, self._max_backoff_s), backoff_s)
 
-    def due(self, now: float) -> float | None:
+    def postponed_until(self, now: float) -> float | None:
         """None if the attempt may be made now, or a later time if its slot has lapsed meanwhile."""
-        if self._slot is not None and self.grid is not None and self.grid.lapsed(self._slot, now):
-            self._slot = self.grid.next(now)
+        if (
+            self._slot is not None
+            and self.time_slots is not None
+            and self.time_slots.is_expired(self._slot, now)
+        ):
+            self._slot = self.time_slots.next_slot_at(now)
             return self._slot
         self._slot = None
         return None
 
-    def served(self) -> None:
+    def reset_backoff(self) -> None:
         """The service has begun a watch: backoffs begin anew."""
         self._pause_s = 0.0
         self._refusals = 0
--- a/calicofall/startup/peer_messages.py
+++ b/calicofall/startup/peer_messages.py
@@ -3,9 +3,9 @@
 A datagram is the digest of its body (8 bytes) and the body: a JSON array of the version, the fleet's name,
 the place of the message's type in `MESSAGE_TYPES`, and the fields of the message in their order.
 
-Invariants: decoding raises nothing but `InvalidMessage`, whatever the bytes are; a datagram of another fleet,
-of another version or with a wrong digest never gets through. A peer's message is a hint. There is no key and
-no sign-in, so the address belongs on a closed network.
+Invariants: decoding raises nothing but `InvalidMessageError`, whatever the bytes are; a datagram of another
+fleet, of another version or with a wrong digest never gets through. A peer's message is a hint. There is no
+key and no sign-in, so the address belongs on a closed network.
 """
 
 from hashlib import blake2b
@@ -21,7 +21,7 @@
 from calicofall.fleet.quota_leases import QuotaLeaseMessage
 
 VERSION = 1
-LARGEST = 512  # bytes of a datagram
+MAX_DATAGRAM_BYTES = 512  # bytes of a datagram
 MAX_LIST_LENGTH = 32  # numbers in a field that holds several
 DIGEST_BYTES = 8
 NAME_DIGEST_BYTES = 6
@@ -29,7 +29,7 @@
 Say = AgreementMessage  # the name by which proxy/gossip_transport.py knows it
 
 
-class InvalidMessage(Exception):  # noqa: N818 - other parts use this name
+class InvalidMessageError(Exception):
     """Why a datagram is dropped, in one word by which it is counted: digest, form, version or fleet."""
 
 
@@ -40,7 +40,7 @@
     sender: int  # the number of the proxy that sends it
     life: int  # the incarnation of the sender
     mark: int  # the sample that the question belongs to
-    served: bool  # whether the sender has a live watch
+    has_watch: bool  # whether the sender has a live watch
 
 
 # The place of a type in this tuple is its number in datagrams.
@@ -79,21 +79,24 @@
     """The message of a datagram, for a proxy of a fleet of so many.
 
     Raises:
-        InvalidMessage: The datagram is not whole, not of this version or fleet, or not of a known form.
+        InvalidMessageError: The datagram is not whole, not of this version or fleet, or not of a known form.
     """
-    if not DIGEST_BYTES < len(data) <= LARGEST or _digest(data[DIGEST_BYTES:]) != data[:DIGEST_BYTES]:
-        raise InvalidMessage("digest")
+    if (
+        not DIGEST_BYTES < len(data) <= MAX_DATAGRAM_BYTES
+        or _digest(data[DIGEST_BYTES:]) != data[:DIGEST_BYTES]
+    ):
+        raise InvalidMessageError("digest")
     try:
         version, name, kind, *fields = orjson.loads(data[DIGEST_BYTES:])
         message: Any = MESSAGE_TYPES[kind](*fields)
     except (ValueError, TypeError, IndexError) as error:
-        raise InvalidMessage("form") from error
+        raise InvalidMessageError("form") from error
     if version != VERSION:
-        raise InvalidMessage("version")
+        raise InvalidMessageError("version")
     if name != fleet:
-        raise InvalidMessage("fleet")
+        raise InvalidMessageError("fleet")
     if not _has_valid_fields(message) or message.sender >= proxies:
-        raise InvalidMessage("form")
+        raise InvalidMessageError("form")
     if isinstance(message, MembershipProbe):
         return message._replace(rumours=tuple(message.rumours))
     decoded: PeerMessage = message
--- a/calicofall/startup/phases.py
+++ b/calicofall/startup/phases.py
@@ -12,15 +12,17 @@
 
     def __init__(self, now: float) -> None:
         self._started_at_s = now
-        self.reached: dict[str, float] = {}  # milliseconds since the start, by phase
+        self.elapsed_ms_by_phase: dict[str, float] = {}  # milliseconds since the start, by phase
 
-    def reach(self, name: str, now: float) -> float | None:
+    def mark_reached(self, name: str, now: float) -> float | None:
         """Milliseconds since the start if the phase is reached for the first time, else None."""
-        if name in self.reached:
+        if name in self.elapsed_ms_by_phase:
             return None
-        self.reached[name] = round((now - self._started_at_s) * 1000.0, 1)
-        return self.reached[name]
+        self.elapsed_ms_by_phase[name] = round((now - self._started_at_s) * 1000.0, 1)
+        return self.elapsed_ms_by_phase[name]
 
-    def lines(self) -> list[str]:
+    def format_lines(self) -> list[str]:
         """One line for each phase, with its time in milliseconds, or `-` if it is not reached."""
-        return [f"start.{name.replace(' ', '_')}:{self.reached.get(name, '-')}" for name in PHASES]
+        return [
+            f"start.{name.replace(' ', '_')}:{self.elapsed_ms_by_phase.get(name, '-')}" for name in PHASES
+        ]
--- a/calicofall/startup/snapshot.py
+++ b/calicofall/startup/snapshot.py
@@ -4,8 +4,8 @@
 file that is cut short anywhere or changed in one byte is not used. The age is counted on the system's clock,
 since it outlives the process: where a clock was set back, a file is from the future and is not used.
 
-Invariants: decoding raises nothing but `UnusableSnapshot`, whatever the bytes are; what another proxy, other
-settings or a later clock wrote is not used; an old list never counts as more than one known to be old.
+Invariants: decoding raises nothing but `UnusableSnapshotError`, whatever the bytes are; what another proxy,
+other settings or a later clock wrote is not used; an old list never counts as more than one known to be old.
 """
 
 from hashlib import blake2b
@@ -19,17 +19,17 @@
 MAGIC = b"calicofall-snapshot "
 RESTORED_LIMIT_FRACTION = 0.5  # of a learned concurrency limit: endpoints may have lost their data meanwhile
 MAX_CLOCK_DIFFERENCE_S = 1.0  # between the clocks of two processes
-LARGEST = 8 << 20  # bytes of a file
+MAX_FILE_BYTES = 8 << 20  # bytes of a file
 MAX_RESTORED_LIMIT = 1e6
 MAX_RESTORED_LATENCY_MS = 60_000.0
 MAX_RESTORED_FRACTION = 1.0
 
 
-class UnusableSnapshot(Exception):  # noqa: N818 - other parts use this name
+class UnusableSnapshotError(Exception):
     """Why a snapshot is not used, in a few words."""
 
 
-def digest(body: bytes) -> bytes:
+def body_digest(body: bytes) -> bytes:
     """The digest of a snapshot's body, as its first line has it."""
     return blake2b(body, digest_size=16).hexdigest().encode()
 
@@ -41,7 +41,7 @@
     latencies and limits would outlive the settings under which they were learned.
     """
     identity = orjson.dumps([settings, discovery], option=orjson.OPT_SORT_KEYS)
-    return f"{name} {digest(identity)[:16].decode()}"
+    return f"{name} {body_digest(identity)[:16].decode()}"
 
 
 def encode_snapshot(owner: str, wall: float, endpoint_list: dict[str, Any], learned: dict[str, Any]) -> bytes:
@@ -54,7 +54,7 @@
         learned: What the router learned, as plain values.
     """
     body = orjson.dumps({"proxy": owner, "at": wall, "known": endpoint_list, "learned": learned})
-    return MAGIC + b"%d %b\n" % (VERSION, digest(body)) + body
+    return MAGIC + b"%d %b\n" % (VERSION, body_digest(body)) + body
 
 
 def decode_snapshot(
@@ -69,7 +69,7 @@
         max_age_s: The greatest age, in seconds.
 
     Raises:
-        UnusableSnapshot: It is not whole, not this proxy's, too old or without a list.
+        UnusableSnapshotError: It is not whole, not this proxy's, too old or without a list.
     """
     body = _verified_body(data)
     try:
@@ -78,7 +78,7 @@
         _verify_owner_and_age(held, owner, age_s, max_age_s)
         _verify_content(held)
     except (ValueError, KeyError, TypeError) as error:
-        raise UnusableSnapshot(f"not readable: {str(error)[:60]}") from error
+        raise UnusableSnapshotError(f"not readable: {str(error)[:60]}") from error
     return held["known"], held["learned"], max(0.0, age_s)
 
 
@@ -86,28 +86,28 @@
     head, _, body = data.partition(b"\n")
     parts = head.split(b" ")
     if not data.startswith(MAGIC) or len(parts) != 3:
-        raise UnusableSnapshot("no snapshot")
+        raise UnusableSnapshotError("no snapshot")
     _, version, expected_digest = parts
     if version != b"%d" % VERSION:
-        raise UnusableSnapshot(f"of version {version[:8].decode(errors='replace')}, not {VERSION}")
-    if expected_digest != digest(body):
-        raise UnusableSnapshot("cut short or changed")
+        raise UnusableSnapshotError(f"of version {version[:8].decode(errors='replace')}, not {VERSION}")
+    if expected_digest != body_digest(body):
+        raise UnusableSnapshotError("cut short or changed")
     return body
 
 
 def _verify_owner_and_age(held: dict[str, Any], owner: str, age_s: float, max_age_s: float) -> None:
     if held["proxy"] != owner:
-        raise UnusableSnapshot(f"of another proxy or other settings, {str(held['proxy'])[:40]}")
+        raise UnusableSnapshotError(f"of another proxy or other settings, {str(held['proxy'])[:40]}")
     if age_s < -MAX_CLOCK_DIFFERENCE_S:
-        raise UnusableSnapshot(f"from the future, by {-age_s:.0f} s")
+        raise UnusableSnapshotError(f"from the future, by {-age_s:.0f} s")
     if age_s > max_age_s:
-        raise UnusableSnapshot(f"{age_s:.0f} s old, over {max_age_s:.0f}")
+        raise UnusableSnapshotError(f"{age_s:.0f} s old, over {max_age_s:.0f}")
 
 
 def _verify_content(held: dict[str, Any]) -> None:
     parse_endpoint_list(held["known"])
     if not held["known"]["endpoints"] or not isinstance(held["learned"], dict):
-        raise UnusableSnapshot("without a list")
+        raise UnusableSnapshotError("without a list")
 
 
 def restorable_state(learned: dict[str, Any], endpoints: set[str]) -> dict[str, Any]:
--- a/calicofall/startup/time_slots.py
+++ b/calicofall/startup/time_slots.py
@@ -30,23 +30,23 @@
     def __init__(
         self, number: int, proxies: int, rate: float, now: float, wall: float, offset: int = 0
     ) -> None:
-        self.gap = 1.0 / rate  # seconds between the slots of two neighbours
+        self.gap_s = 1.0 / rate  # seconds between the slots of two neighbours
         self.proxies = max(1, proxies)
-        self.turn = offset
-        self.period = self.proxies * self.gap  # seconds between two slots of this proxy
-        self._phase_s = (number + offset) % self.proxies * self.gap - wall % self.period + now
-        self.now = now
-        self.wall = wall
+        self.offset = offset
+        self.period_s = self.proxies * self.gap_s  # seconds between two slots of this proxy
+        self._phase_s = (number + offset) % self.proxies * self.gap_s - wall % self.period_s + now
+        self.created_at_s = now
+        self.created_at_wall_s = wall
 
-    def next(self, now: float, contending: float = 1.0) -> float:
+    def next_slot_at(self, now: float, contending: float = 1.0) -> float:
         """The first slot from now on, in seconds.
 
         Where only a part of the fleet contends for slots, the period is shortened to that part.
         """
-        period = max(self.gap, self.period * min(1.0, contending))
-        return self._phase_s + -((self._phase_s - now) // period) * period
+        period_s = max(self.gap_s, self.period_s * min(1.0, contending))
+        return self._phase_s + -((self._phase_s - now) // period_s) * period_s
 
-    def lapsed(self, slot: float, now: float) -> bool:
+    def is_expired(self, slot: float, now: float) -> bool:
         """Whether it is too late to use a slot.
 
         Without this, proxies whose processes were stopped together would all act at once when they resume.
--- a/calicofall/testbed/rate_slot_simulation.py
+++ b/calicofall/testbed/rate_slot_simulation.py
@@ -24,7 +24,7 @@
 
 def slot_index(grid: TimeSlots, slot_at: float) -> int:
     """The number of a slot among all slots of the fleet, by the common clock."""
-    return round((slot_at - grid.now + grid.wall) / grid.gap)
+    return round((slot_at - grid.created_at_s + grid.created_at_wall_s) / grid.gap_s)
 
 
 class RateSlotSimulation(QuotaSimulation):
@@ -75,7 +75,7 @@
             self.taken_at.append(self.now)
             self.takers_by_slot[slot_index(grid, slot_at)] += 1
         next_slot_at = instance.next(
-            grid, now, now if slot_at is None else max(now, slot_at + grid.gap / 2.0)
+            grid, now, now if slot_at is None else max(now, slot_at + grid.gap_s / 2.0)
         )
         wait_s = max(0.0, next_slot_at - now) + SHORTEST_WAIT_S
         self.at(self.now + wait_s, self.take_slots, node, incarnation, next_slot_at)
--- a/calicofall/testbed/startup_simulation.py
+++ b/calicofall/testbed/startup_simulation.py
@@ -152,14 +152,14 @@
 
     def _start(self, node: StartingNode) -> None:
         estimate = node.estimate
-        if estimate is None or not node.schedule.senses():
-            self._schedule_attempt(node, node.schedule.enter(self.now))
+        if estimate is None or not node.schedule.depends_on_contention():
+            self._schedule_attempt(node, node.schedule.first_attempt_at(self.now))
             return
-        sample, peers = estimate.ask(self.now)
+        sample, peers = estimate.begin_sample(self.now)
         for number in peers:
             peer = self.nodes[number]
             self._send(peer, partial(self._answer, peer, node, estimate, sample))
-        self._schedule(estimate.until, node, partial(self._look_at_sample, node, estimate, sample))
+        self._schedule(estimate.sample_ends_at_s, node, partial(self._look_at_sample, node, estimate, sample))
 
     def _answer(
         self, peer: StartingNode, node: StartingNode, estimate: ContentionEstimate, sample: int
@@ -169,20 +169,20 @@
     def _hear_answer(
         self, node: StartingNode, estimate: ContentionEstimate, sample: int, peer: int, has_list: bool
     ) -> None:
-        estimate.told(sample, peer, has_list)
+        estimate.count_answer(sample, peer, has_list)
         self._look_at_sample(node, estimate, sample)
 
     def _look_at_sample(self, node: StartingNode, estimate: ContentionEstimate, sample: int) -> None:
-        waiting = estimate.known(self.now)
-        if sample == estimate.mark and not node.waits and waiting is not None:
+        waiting = estimate.waiting_fraction(self.now)
+        if sample == estimate.sample_id and not node.waits and waiting is not None:
             node.waits = True
-            self._schedule_attempt(node, node.schedule.enter(self.now, waiting))
+            self._schedule_attempt(node, node.schedule.first_attempt_at(self.now, waiting))
 
     def _schedule_attempt(self, node: StartingNode, at_s: float) -> None:
         self._schedule(max(at_s, self.now), node, partial(self._attempt, node))
 
     def _attempt(self, node: StartingNode) -> None:
-        later_s = node.schedule.due(self.now)
+        later_s = node.schedule.postponed_until(self.now)
         if later_s is not None:
             self._schedule_attempt(node, later_s)
             return
@@ -191,11 +191,11 @@
             self._schedule(self.now + ATTEMPT_TIMEOUT_S, node, partial(self._give_up, node))
             return
         if self.service.ask(self.now) is None:
-            self._schedule_attempt(node, node.schedule.refused(self.now))
+            self._schedule_attempt(node, node.schedule.retry_at_after_refusal(self.now))
             return
         node.has_list = True
-        node.schedule.served()
+        node.schedule.reset_backoff()
         self.lists.append(self.now)
 
     def _give_up(self, node: StartingNode) -> None:
-        self._schedule_attempt(node, node.schedule.broke(self.now))
+        self._schedule_attempt(node, node.schedule.retry_at_after_failure(self.now))
--- a/tests/rogues.py
+++ b/tests/rogues.py
@@ -27,13 +27,13 @@
 
 def asks_at_once() -> None:
     """A line that nobody stands in."""
-    discovery_schedule.DiscoverySchedule.enter = lambda self, now, part=1.0: now
-    discovery_schedule.DiscoverySchedule.refused = lambda self, now, after=0.0: now + 0.02
+    discovery_schedule.DiscoverySchedule.first_attempt_at = lambda self, now, part=1.0: now
+    discovery_schedule.DiscoverySchedule.retry_at_after_refusal = lambda self, now, after=0.0: now + 0.02
 
 
 def makes_up_for_turns() -> None:
     """A turn that was slept through is taken all the same."""
-    time_slots.TimeSlots.lapsed = lambda self, slot, now: False
+    time_slots.TimeSlots.is_expired = lambda self, slot, now: False
 
 
 def opens_without_list() -> None:
@@ -83,7 +83,7 @@
 
 def opens_beyond_share() -> None:
     """Handshakes as they come, and a new connection for each RPC."""
-    connection_quotas.ConnectionQuotas.begin = lambda self, name, turn, now, wall, needed=True: now
+    connection_quotas.ConnectionQuotas.take_slot = lambda self, name, turn, now, wall, needed=True: now
     rest = upstream_connection.UpstreamConnection.become_idle
 
     def close(self: upstream_connection.UpstreamConnection) -> None:
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -225,7 +225,7 @@
     while not loop.opened and loop.time() < 1060.0:
         loop.run(0.1)
         parts = [number / 50 for number in range(1, 50)]  # what peers' messages may come to
-        worst = max(parts, key=lambda part: slots.next(loop.time(), 2.0 * part))
+        worst = max(parts, key=lambda part: slots.next_slot_at(loop.time(), 2.0 * part))
         discovery.reopen(worst)
 
     assert len(loop.opened) == 1
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -336,12 +336,12 @@
     word = MembershipProbe(ProbeKind.PROBE, 1, 2, 3, 1, 0, (4, 5, 6))
     assert peer_messages.decode_message(peer_messages.encode_message("shop", word), "shop", 8) == word
     for wrong in (("x",), (-1,), tuple(range(40)), (1.5,), "abc"):
-        with pytest.raises(peer_messages.InvalidMessage):
+        with pytest.raises(peer_messages.InvalidMessageError):
             peer_messages.decode_message(
                 peer_messages.encode_message("shop", word._replace(rumours=wrong)), "shop", 8
             )
     largest = MembershipProbe(3, 999, 2**48, 2**48, 999, 2**48, (999, 2**48, 999) * SUSPICIONS_PER_MESSAGE)
-    assert len(peer_messages.encode_message("f" * 60, largest)) <= peer_messages.LARGEST
+    assert len(peer_messages.encode_message("f" * 60, largest)) <= peer_messages.MAX_DATAGRAM_BYTES
 
 
 def test_gossip_transport_answers_probes_and_logs_members_away(caplog: pytest.LogCaptureFixture) -> None:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -777,7 +777,7 @@
     """The adapter and the proxy's facade, given the same settings, seed, list and keys, send alike."""
     chance, out, said = Random(5), [], []
     wired = host.Proxy(0, parse_seed("8c1f30d27a5be964"), SETTINGS, 0.0, out)
-    wired.registry(0.0, 2, 1, [[f"c{i}", "a", "box", 0, 2, 1.0 + i % 2, 0] for i in range(6)])
+    wired.on_endpoint_list(0.0, 2, 1, [[f"c{i}", "a", "box", 0, 2, 1.0 + i % 2, 0] for i in range(6)])
     plain = Router(normalize_settings(json.loads(json.dumps(SETTINGS))), parse_seed("8c1f30d27a5be964"), 0.0)
     listed = {"snapshot": True, "endpoints": [endpoint(f"c{i}") | {"weight": 1.0 + i % 2} for i in range(6)]}
     plain.on_endpoint_list(0.0, "cached", 1, parse_endpoint_list(listed)[2])
@@ -799,20 +799,20 @@
         write, until = method == "save", now + fields["patience"]
         rpc = Request(f"{number:016x}", method, "acme", fields["key"], write, now, until)
         act(rpc, plain.route(now, rpc))
-        wired.knock(now, rpc.id, method, round(until * 1e6), 4 * write, "acme", None, None, key)
+        wired.on_request(now, rpc.id, method, round(until * 1e6), 4 * write, "acme", None, None, key)
         for due in [due for due in going if due[0] <= now]:
             going.remove(due)
             rc, outcome = chance.choice([(0, "completed")] * 9 + [(13, "error"), (8, "full")])
             attempt = len(due[1].attempts) - 1
-            wired.reply(
+            wired.on_attempt_ended(
                 now, due[1].id, attempt, due[1].attempts[-1].endpoint, rc, 40_000_000, rc == 0, 1, None
             )
             act(due[1], plain.report_attempt(now, due[1], attempt, outcome, 40.0, "hit"))
         while (woken := plain.next_due_request(now)) is not None:
             act(woken, plain.route(now, woken))
-        wired.timeoutfired(now, 0)
+        wired.on_timer(now, 0)
         plain.tick(now)
-        wired.settle(now)
+        wired.end_batch(now)
     told = [
         [line[0], *line[2:4]] for line in map(json.loads, out) if line[0] in ("PassOn", "NotNow", "Surrender")
     ]
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -40,7 +40,7 @@
         slots = TimeSlots(number, proxies, room, 50.0, 7_000.3)
         now = 50.0 + random.uniform(0.0, 3.0)
         for _ in range(3):
-            taken.append(slots.next(now))
+            taken.append(slots.next_slot_at(now))
             assert now - 1e-9 <= taken[-1] < now + proxies / room + 1e-9
             now = taken[-1] + 0.5 / room
     for span in (1.0, 2.0):
@@ -49,12 +49,12 @@
 
 def test_time_slots_with_clocks_that_differ_exceed_the_rate_by_the_difference_only() -> None:
     slots = TimeSlots(3, 100, 10.0, 50.0, 7_000.0)
-    assert slots.next(60.0) == slots.next(60.0)  # the common clock is read once
+    assert slots.next_slot_at(60.0) == slots.next_slot_at(60.0)  # the common clock is read once
     random = Random(1)
     rate = 10.0
     difference = 0.4
     taken = [
-        TimeSlots(number, 200, rate, 0.0, 7_000.0 + random.uniform(0.0, difference)).next(1.0)
+        TimeSlots(number, 200, rate, 0.0, 7_000.0 + random.uniform(0.0, difference)).next_slot_at(1.0)
         for number in range(200)
     ]
     assert most_in_span(taken)[0] <= rate * (1.0 + 2.0 * difference) + 1
@@ -62,18 +62,18 @@
 
 def test_time_slot_of_a_stopped_process_has_lapsed() -> None:
     slots = TimeSlots(3, 100, 10.0, 50.0, 7_000.0)
-    slot = slots.next(51.0)
-    assert not slots.lapsed(slot, slot + 0.2)
-    assert slots.lapsed(slot, slot + 0.4)
+    slot = slots.next_slot_at(51.0)
+    assert not slots.is_expired(slot, slot + 0.2)
+    assert slots.is_expired(slot, slot + 0.4)
     schedule = DiscoverySchedule(Random(1), 100, 5.0, slots)
-    assert schedule.enter(51.0) == slot
-    assert schedule.due(slot + 0.01) is None
-    schedule.enter(51.0)
-    later = schedule.due(slot + 3.0)  # stopped meanwhile: the next slot, not now
+    assert schedule.first_attempt_at(51.0) == slot
+    assert schedule.postponed_until(slot + 0.01) is None
+    schedule.first_attempt_at(51.0)
+    later = schedule.postponed_until(slot + 3.0)  # stopped meanwhile: the next slot, not now
     assert later is not None
     assert later > slot + 3.0
     assert abs(later - slot - 10.0) < 1e-6
-    assert schedule.due(later) is None
+    assert schedule.postponed_until(later) is None
 
 
 # The contention estimate
@@ -85,22 +85,22 @@
     for fate in product(fates, repeat=3):
         for order in permutations(range(3)):
             estimate = ContentionEstimate(0, 4, 4.0, Random(1))
-            old_sample, _ = estimate.ask(0.0)
-            sample, peers = estimate.ask(1.0)
+            old_sample, _ = estimate.begin_sample(0.0)
+            sample, peers = estimate.begin_sample(1.0)
             assert sorted(peers) == [1, 2, 3]
             for place in order:
                 peer = peers[place]
                 what = fate[place]
                 if what in ("served", "waits", "repeated"):
-                    estimate.told(sample, peer, what != "waits")
+                    estimate.count_answer(sample, peer, what != "waits")
                 if what == "repeated":
-                    assert not estimate.told(sample, peer, True)
+                    assert not estimate.count_answer(sample, peer, True)
                 if what == "of another sample":
-                    assert not estimate.told(old_sample, peer, True)
+                    assert not estimate.count_answer(old_sample, peer, True)
             all_answered = all(what in ("served", "waits", "repeated") for what in fate)
             waiting = sum(what in ("waits", "lost", "of another sample") for what in fate) / 3
-            assert (estimate.known(1.01) is not None) == all_answered
-            assert estimate.known(1.0 + ANSWER_TIMEOUT_S) == pytest.approx(waiting)
+            assert (estimate.waiting_fraction(1.01) is not None) == all_answered
+            assert estimate.waiting_fraction(1.0 + ANSWER_TIMEOUT_S) == pytest.approx(waiting)
 
 
 def test_sample_size_grows_with_the_fleet_up_to_the_limit() -> None:
@@ -116,30 +116,30 @@
 
 def test_discovery_schedule_asks_at_once_alone_and_in_its_slot_under_contention() -> None:
     schedule = DiscoverySchedule(Random(1), 200, 5.0, TimeSlots(7, 200, 10.0, 0.0, 7_000.0))
-    assert schedule.enter(5.0, 0.0) == 5.0
-    assert 5.0 <= schedule.enter(5.0, 0.05) <= 7.0
-    assert 5.0 <= schedule.enter(5.0, 1.0) <= 25.0
+    assert schedule.first_attempt_at(5.0, 0.0) == 5.0
+    assert 5.0 <= schedule.first_attempt_at(5.0, 0.05) <= 7.0
+    assert 5.0 <= schedule.first_attempt_at(5.0, 1.0) <= 25.0
     small_fleet = DiscoverySchedule(Random(1), 4, 5.0, TimeSlots(3, 4, 10.0, 0.0, 7_000.0))
-    assert not small_fleet.senses()
-    assert small_fleet.enter(5.0, 1.0) == 5.0  # there is capacity for all at once
+    assert not small_fleet.depends_on_contention()
+    assert small_fleet.first_attempt_at(5.0, 1.0) == 5.0  # there is capacity for all at once
     without_rate = DiscoverySchedule(Random(1), 200)
-    assert without_rate.enter(5.0, 1.0) == 5.0
-    assert not without_rate.senses()
+    assert without_rate.first_attempt_at(5.0, 1.0) == 5.0
+    assert not without_rate.depends_on_contention()
 
 
 def test_discovery_schedule_after_a_refusal_uses_a_slot_and_keeps_retry_after() -> None:
     schedule = DiscoverySchedule(Random(1), 200, 5.0, TimeSlots(7, 200, 10.0, 0.0, 7_000.0))
-    assert 5.0 < schedule.refused(5.0) <= 25.1
-    assert schedule.refused(5.0, 30.0) >= 35.0
+    assert 5.0 < schedule.retry_at_after_refusal(5.0) <= 25.1
+    assert schedule.retry_at_after_refusal(5.0, 30.0) >= 35.0
     without_rate = DiscoverySchedule(Random(1), 200)
-    assert without_rate.refused(5.0, 3.5) >= 8.5
+    assert without_rate.retry_at_after_refusal(5.0, 3.5) >= 8.5
     # A list that is in use is not kept from news for longer.
-    assert without_rate.refused(5.0, 60.0) <= 5.0 + MAX_BACKOFF_S * 1.1
+    assert without_rate.retry_at_after_refusal(5.0, 60.0) <= 5.0 + MAX_BACKOFF_S * 1.1
 
 
 def test_discovery_schedule_spreads_first_backoffs_after_refusals() -> None:
     """Without a spread, 200 proxies refused in one second ask again in one second, and so on."""
-    attempts = [DiscoverySchedule(Random(seed), 200).refused(0.0) for seed in range(200)]
+    attempts = [DiscoverySchedule(Random(seed), 200).retry_at_after_refusal(0.0) for seed in range(200)]
     assert most_in_span(attempts, 0.5)[0] < 50
     assert max(attempts) <= 5.5
 
@@ -279,22 +279,22 @@
     """Slots that are used by processes that were stopped, and a schedule that never waits."""
     starts = StartupScenario(proxies=300, rate_per_s=10.0, seed=1)
     stops = StartupScenario(proxies=300, rate_per_s=10.0, seed=1, stopped=Span(2.0, 18.0), stopped_every=3)
-    lapsed = TimeSlots.lapsed
-    enter = DiscoverySchedule.enter
+    lapsed = TimeSlots.is_expired
+    enter = DiscoverySchedule.first_attempt_at
     try:
-        TimeSlots.lapsed = lambda self, slot, now: False
+        TimeSlots.is_expired = lambda self, slot, now: False
         assert StartupSimulation(stops).run().peak > 15
-        TimeSlots.lapsed = lapsed
-        DiscoverySchedule.enter = lambda self, now, part=1.0: now
+        TimeSlots.is_expired = lapsed
+        DiscoverySchedule.first_attempt_at = lambda self, now, part=1.0: now
         assert StartupSimulation(starts).run().peak > 15
     finally:
-        TimeSlots.lapsed = lapsed
-        DiscoverySchedule.enter = enter
+        TimeSlots.is_expired = lapsed
+        DiscoverySchedule.first_attempt_at = enter
 
 
 def test_time_slots_with_half_the_number_of_proxies_configured_double_the_rate_at_most() -> None:
     """Two proxies have each number: the rate at the service doubles, and no more."""
-    slots = [TimeSlots(number % 100, 100, 10.0, 0.0, 7_000.0).next(1.0) for number in range(200)]
+    slots = [TimeSlots(number % 100, 100, 10.0, 0.0, 7_000.0).next_slot_at(1.0) for number in range(200)]
     assert most_in_span(slots)[0] <= 2 * (10 + 1)
 
 
@@ -314,15 +314,15 @@
         (peer_messages.encode_message("shop", message._replace(sender=9)), "form"),
         (peer_messages.encode_message("shop", peer_messages.StartupMessage("x", -1, None, 2, 3)), "form"),
     ):
-        with pytest.raises(peer_messages.InvalidMessage, match=cause):
+        with pytest.raises(peer_messages.InvalidMessageError, match=cause):
             peer_messages.decode_message(wrong, "shop", 4)
     for _ in range(300):
         place = random.randrange(len(data))
         changed_byte = bytes([data[place] ^ random.randrange(1, 256)])
-        with pytest.raises(peer_messages.InvalidMessage):
+        with pytest.raises(peer_messages.InvalidMessageError):
             peer_messages.decode_message(data[:place] + changed_byte + data[place + 1 :], "shop", 4)
         noise = random.randbytes(random.randrange(600))
-        with pytest.raises(peer_messages.InvalidMessage):
+        with pytest.raises(peer_messages.InvalidMessageError):
             peer_messages.decode_message(noise, "shop", 4)
 
 
@@ -387,22 +387,22 @@
         quotas = ConnectionQuotas(number, 50, 25.0, 200)
         now = 100.0 + number * 0.003
         while now < 110.0:
-            now = quotas.begin("c1", 12345, now, now + 7_000.0)
+            now = quotas.take_slot("c1", 12345, now, now + 7_000.0)
             opened.append(now)
-        assert quotas.most == 4
+        assert quotas.max_connections == 4
     assert most_in_span(opened)[0] <= 26
     assert len(opened) > 240
 
 
 def test_handshake_slot_given_back_is_taken_again_and_none_twice() -> None:
     quotas = ConnectionQuotas(3, 10, 10.0, None)
-    first = quotas.begin("c1", 1, 50.0, 7_000.0)
-    quotas.back("c1", first)
-    assert quotas.begin("c1", 1, 50.0, 7_000.0) == pytest.approx(first)
-    assert quotas.begin("c1", 1, 50.0, 7_000.0) == pytest.approx(first + 1.0)
+    first = quotas.take_slot("c1", 1, 50.0, 7_000.0)
+    quotas.return_slot("c1", first)
+    assert quotas.take_slot("c1", 1, 50.0, 7_000.0) == pytest.approx(first)
+    assert quotas.take_slot("c1", 1, 50.0, 7_000.0) == pytest.approx(first + 1.0)
     unlimited = ConnectionQuotas(3, 10)
-    assert unlimited.begin("c1", 1, 50.0, 7_000.0) == 50.0
-    assert unlimited.most is None
+    assert unlimited.take_slot("c1", 1, 50.0, 7_000.0) == 50.0
+    assert unlimited.max_connections is None
 
 
 def desk_with_start_settings(caches: int = 3, **start: object) -> Desk:
@@ -421,7 +421,7 @@
     desk = desk_with_start_settings(caches=1, handshakesPerS=1.0).spacious()
     client = desk.client()
     now = desk.loop.time()
-    desk.proxy.connection_quotas.begin(
+    desk.proxy.connection_quotas.take_slot(
         "c1",
         desk.proxy.upstreams.pools["c1"].order_offset,
         now,
@@ -434,8 +434,8 @@
     cache = desk.proxy.router.policy.endpoints.caches["c1"]
     assert cache.admitted_fraction == 1.0
     assert not cache.ejected
-    slots = desk.proxy.connection_quotas.slots["c1"]
-    slot = slots.taken_at_s + slots.time_slots.gap
+    slots = desk.proxy.connection_quotas.slots_by_endpoint["c1"]
+    slot = slots.last_taken_at_s + slots.time_slots.gap_s
     desk.loop.run(slot - desk.loop.time() - 0.1)
     client.feed(ask())
     assert not desk.loop.opened
@@ -449,10 +449,10 @@
     desk = desk_with_start_settings(caches=1, handshakesPerS=1.0).spacious()
     pool = desk.proxy.upstreams.pools["c1"]
     now = desk.loop.time()
-    slot = desk.proxy.connection_quotas.begin(
+    slot = desk.proxy.connection_quotas.take_slot(
         "c1", pool.order_offset, now, now + desk.proxy.upstreams.common_clock_offset_s
     )
-    desk.proxy.connection_quotas.back("c1", slot)
+    desk.proxy.connection_quotas.return_slot("c1", slot)
     connection = pool.open_another(5.0)
     assert connection is not None
     assert connection.opens_at >= now
@@ -534,9 +534,9 @@
         ("n0", 1031.0, "old"),
         ("n0", 990.0, "future"),
     ):
-        with pytest.raises(snapshot.UnusableSnapshot, match=cause):
+        with pytest.raises(snapshot.UnusableSnapshotError, match=cause):
             snapshot.decode_snapshot(data, name, wall, 30.0)
-    with pytest.raises(snapshot.UnusableSnapshot, match="version 2"):
+    with pytest.raises(snapshot.UnusableSnapshotError, match="version 2"):
         snapshot.decode_snapshot(data.replace(b"snapshot 1 ", b"snapshot 2 "), "n0", 1000.0, 30.0)
 
 
@@ -544,12 +544,12 @@
     data = snapshot.encode_snapshot("n0", 1000.0, KNOWN, LEARNED)
     for place in range(len(data)):
         for wrong in (data[:place], data[:place] + bytes([data[place] ^ 0x41]) + data[place + 1 :]):
-            with pytest.raises(snapshot.UnusableSnapshot):
+            with pytest.raises(snapshot.UnusableSnapshotError):
                 snapshot.decode_snapshot(wrong, "n0", 1000.0, 30.0)
     for body in (b"[]", b"{}", b'{"proxy":"n0","at":"x","known":3,"learned":[]}', b"\xff"):
-        with pytest.raises(snapshot.UnusableSnapshot):
+        with pytest.raises(snapshot.UnusableSnapshotError):
             snapshot.decode_snapshot(
-                snapshot.MAGIC + b"1 " + snapshot.digest(body) + b"\n" + body, "n0", 1000.0, 30.0
+                snapshot.MAGIC + b"1 " + snapshot.body_digest(body) + b"\n" + body, "n0", 1000.0, 30.0
             )
 
 
@@ -689,9 +689,9 @@
     proxy = Desk().proxy
     assert proxy.gossip is None
     assert proxy.snapshot_store is None
-    assert proxy.discovery.schedule.grid is None
-    assert proxy.connection_quotas.handshakes is None
-    assert proxy.connection_quotas.most is None
+    assert proxy.discovery.schedule.time_slots is None
+    assert proxy.connection_quotas.handshakes_per_s is None
+    assert proxy.connection_quotas.max_connections is None
     assert proxy.router.policy.slow_start.told_rate == 0.0
     assert parse_startup_settings({"settings": SETTINGS}) == {}
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -203,5 +203,5 @@
     data = peer_messages.encode_message("shop", word)
     assert peer_messages.decode_message(data, "shop", 3) == word
     for wrong in (word._replace(known=-1), word._replace(ready=1), word._replace(sender=5)):
-        with pytest.raises(peer_messages.InvalidMessage, match="form"):
+        with pytest.raises(peer_messages.InvalidMessageError, match="form"):
             peer_messages.decode_message(peer_messages.encode_message("shop", wrong), "shop", 3)
