--- a/tests/rogues.py
+++ b/tests/rogues.py
@@ -30,13 +30,13 @@
 
 def asks_at_once() -> None:
     """Asks the discovery service at once, and again 20 ms after each refusal, without waiting for a turn."""
-    discovery_schedule.DiscoverySchedule.enter = lambda self, now, part=1.0: now
-    discovery_schedule.DiscoverySchedule.refused = lambda self, now, after=0.0: now + 0.02
+    discovery_schedule.DiscoverySchedule.first_attempt_at = lambda self, now, part=1.0: now
+    discovery_schedule.DiscoverySchedule.retry_at_after_refusal = lambda self, now, after=0.0: now + 0.02
 
 
 def makes_up_for_turns() -> None:
     """Uses time slots that passed while the process was stopped."""
-    time_slots.TimeSlots.lapsed = lambda self, slot, now: False
+    time_slots.TimeSlots.is_expired = lambda self, slot, now: False
 
 
 def opens_without_list() -> None:
@@ -89,7 +89,7 @@
 
 def opens_beyond_share() -> None:
     """Starts handshakes without waiting for its share, and opens a new connection for each request."""
-    connection_quotas.ConnectionQuotas.begin = lambda self, name, turn, now, wall, needed=True: now
+    connection_quotas.ConnectionQuotas.take_slot = lambda self, name, turn, now, wall, needed=True: now
     become_idle = upstream_connection.UpstreamConnection.become_idle
 
     def close(self: upstream_connection.UpstreamConnection) -> None:
