--- a/calicofall/proxy/client_connection.py
+++ b/calicofall/proxy/client_connection.py
@@ -31,39 +31,41 @@
         "client",
         "answer",
         "active_request",
-        "held_bytes",
+        "buffered_bytes",
         "value_size",
         "head_sent",
-        "request_more",
+        "request_next_chunk",
     )
 
     def __init__(self, client: "ClientConnection", command_bytes: int) -> None:
         self.client = client
-        self.held_bytes = command_bytes  # memory of the command, and of the answer until it is written
+        self.buffered_bytes = command_bytes  # memory of the command, and of the answer until it is written
         self.answer: bytes | None = None
         self.active_request: Any = None  # the proxy's
         self.value_size = -1  # of a value that is streamed
         self.head_sent = False  # of a value that is streamed
-        self.request_more: Callable[[], None] | None = None  # asks for the next piece of a streamed value
+        self.request_next_chunk: Callable[[], None] | None = (
+            None  # asks for the next piece of a streamed value
+        )
 
     def complete(self, answer: bytes) -> None:
         """Gives the whole reply, as RESP2."""
         self.answer = answer
-        self.held_bytes += len(answer)
-        self.client.clients.held_bytes += len(answer)
+        self.buffered_bytes += len(answer)
+        self.client.clients.buffered_bytes += len(answer)
         self.client.write_ready_replies()
 
-    def begin_streaming(self, size: int, request_more: Callable[[], None]) -> None:
-        """Announces a value of `size` bytes in pieces; `request_more` is called when one may come."""
+    def start_streaming(self, size: int, request_next_chunk: Callable[[], None]) -> None:
+        """Announces a value of `size` bytes in pieces; `request_next_chunk` is called when one may come."""
         self.value_size = size
-        self.request_more = request_more
+        self.request_next_chunk = request_next_chunk
         self.client.write_ready_replies()
 
-    def has_room(self) -> bool:
+    def can_accept_chunk(self) -> bool:
         """Whether the next piece may come: it is this reply's turn, and the client takes it."""
         return self.head_sent and not self.client.write_paused
 
-    def write_piece(self, data: bytes) -> None:
+    def write_chunk(self, data: bytes) -> None:
         """Writes the next piece of a streamed value."""
         self.client.write(data)
 
@@ -83,7 +85,7 @@
         self.reading_paused = False
         self.ignores_input = False  # framing is lost, or the client has said QUIT
         self.consecutive_errors = 0
-        self.partial_bytes = 0  # memory for a command that has begun and not ended
+        self.partial_command_bytes = 0  # memory for a command that has begun and not ended
         self.partial_progress_at = 0.0  # when more of it came last
         self.stall_timer: asyncio.TimerHandle | None = None
 
@@ -103,7 +105,7 @@
             else:
                 self.transport.resume_reading()
 
-    def refuse_further_input(self, reason: str) -> None:
+    def reject_further_input(self, reason: str) -> None:
         """Reads nothing more, and closes once the client has been told why."""
         if not self.ignores_input:
             self.ignores_input = True
@@ -123,7 +125,7 @@
             if answer is None:
                 break
             reply = self.replies.popleft()
-            self.clients.held_bytes -= reply.held_bytes
+            self.clients.buffered_bytes -= reply.buffered_bytes
             self.write(answer)
         if self.replies and not self.write_paused and self._stream(self.replies[0]):
             return
@@ -172,7 +174,7 @@
             self.clients.on_closing(self)
             super().close()
 
-    def has_left(self) -> bool:
+    def detect_disconnect(self) -> bool:
         """Whether the client has closed, also while reading is paused, which hides its end."""
         if self.reading_paused and not self.closed and self.peer_has_closed():
             self.abort()
@@ -182,12 +184,12 @@
         """The connection is over: requests of replies that are still owed are called off."""
         if self.stall_timer is not None:
             self.stall_timer.cancel()
-        self.clients.forget(self)
+        self.clients.remove_client(self)
         replies, self.replies = self.replies, deque()
         for reply in replies:
-            self.clients.held_bytes -= reply.held_bytes
+            self.clients.buffered_bytes -= reply.buffered_bytes
             if reply.answer is None:
-                self.clients.on_client_left(reply)
+                self.clients.on_client_disconnected(reply)
 
     def _read_commands(self) -> None:
         while not (self.ignores_input or self.closing or self.closed):
@@ -196,17 +198,17 @@
             try:
                 command = self.parser.read()
             except resp.ProtocolError as error:
-                self.refuse_further_input(str(error))
+                self.reject_further_input(str(error))
                 return
             if command is resp.INCOMPLETE:
-                self.clients.set_partial(self, self.parser.is_midway())
+                self.clients.update_partial_command(self, self.parser.has_partial_message())
                 return
-            self.clients.set_partial(self, False)
+            self.clients.update_partial_command(self, False)
             self._handle_command(command)
 
     def _must_pause_reading(self) -> bool:
         """Whether the replies owed, or the memory of all clients, allow no further command."""
-        has_memory = self.clients.held_bytes < self.clients.read_ahead_bytes
+        has_memory = self.clients.buffered_bytes < self.clients.read_ahead_bytes
         max_replies = MAX_PIPELINED_COMMANDS if has_memory else 1
         return (
             self.write_paused or self in self.clients.waiting_for_memory or len(self.replies) >= max_replies
@@ -215,7 +217,7 @@
     def _add_reply(self, command_bytes: int) -> PendingReply:
         reply = PendingReply(self, command_bytes)
         self.replies.append(reply)
-        self.clients.held_bytes += command_bytes
+        self.clients.buffered_bytes += command_bytes
         self.clients.mark_busy(self)
         return reply
 
@@ -236,7 +238,7 @@
             self.reject_command(reply, "unknown command")
 
     def _handle_ping(self, reply: PendingReply, command: list[bytes]) -> None:
-        if self.clients.denies_ping:
+        if self.clients.rejects_ping:
             reply.complete(resp.encode_error("ERR emptying"))
         elif len(command) == 1:
             reply.complete(resp.encode_simple_string("PONG"))
@@ -247,12 +249,12 @@
 
     def _stream(self, reply: PendingReply) -> bool:
         """Asks for the next piece of a streamed value; False if the reply is none."""
-        if reply.request_more is None:
+        if reply.request_next_chunk is None:
             return False
         if not reply.head_sent:
             reply.head_sent = True
             self.write(b"$%d\r\n" % reply.value_size)
-        reply.request_more()
+        reply.request_next_chunk()
         return True
 
     def _on_all_replied(self) -> None:
--- a/calicofall/proxy/client_protocol.py
+++ b/calicofall/proxy/client_protocol.py
@@ -85,7 +85,7 @@
     return patience_ms
 
 
-def forwarded_command(parts: list[bytes], patience: float) -> list[bytes]:
+def build_forwarded_command(parts: list[bytes], patience: float) -> list[bytes]:
     """The client's command as an endpoint gets it: only how long its answer is waited for (ms) is changed."""
     wait = b"d=%d" % max(1, ceil(patience))
     pairs = b",".join(wait if pair.startswith(b"d=") else pair for pair in parts[3].split(b","))
--- a/calicofall/proxy/command_parser.py
+++ b/calicofall/proxy/command_parser.py
@@ -10,7 +10,7 @@
 from calicofall.proxy.resp import (
     INCOMPLETE,
     MAX_VALUE_BYTES,
-    STREAMED_VALUE_BYTES,
+    STREAMING_THRESHOLD_BYTES,
     ErrorReply,
     Incomplete,
     ProtocolError,
@@ -73,17 +73,17 @@
                 return outermost
 
     @property
-    def reads_long_value(self) -> bool:
+    def is_reading_long_value(self) -> bool:
         """Whether a long value is coming: memory is taken for what has come of it, not for its length."""
-        return self.bulk_bytes_left > STREAMED_VALUE_BYTES
+        return self.bulk_bytes_left > STREAMING_THRESHOLD_BYTES
 
-    def is_midway(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether a value has begun and not ended."""
         return bool(self.open_arrays) or self.bulk_bytes_left >= 0 or len(self.ring) > 0
 
     def _bulk_is_whole(self) -> bool:
         read_all = self.bulk_bytes_read >= self.bulk_bytes_left
-        if self.reads_long_value and not read_all and not self._read_long_value():
+        if self.is_reading_long_value and not read_all and not self._read_long_value():
             return False
         return len(self.ring) >= self.bulk_bytes_left - self.bulk_bytes_read + 2
 
@@ -159,7 +159,7 @@
             self.bulk_chunks.append(chunk)
             self.bulk_bytes_read += len(chunk)
             left -= len(chunk)
-        self.ring.reserve(min(STREAMED_VALUE_BYTES, left + 2))
+        self.ring.reserve(min(STREAMING_THRESHOLD_BYTES, left + 2))
         return left == 0
 
     def _read_short_command(self) -> list[bytes] | None:
--- a/calicofall/proxy/connection.py
+++ b/calicofall/proxy/connection.py
@@ -250,12 +250,12 @@
         self,
         loop: asyncio.AbstractEventLoop,
         address: tuple[str, int],
-        has_room: Callable[[], bool],
+        has_capacity: Callable[[], bool],
         make_connection: Callable[[], BufferedConnection],
         shared: bool = False,
     ) -> None:
         self.loop = loop
-        self.has_room = has_room
+        self.has_capacity = has_capacity
         self.make_connection = make_connection
         try:
             self.socket = socket.create_server(address, backlog=LISTEN_BACKLOG, reuse_port=shared)
@@ -281,7 +281,7 @@
             # Looked at first: making room ends an idle client's connection, which nobody may need.
             if not self.has_pending_connection():
                 return
-            if not self.has_room():
+            if not self.has_capacity():
                 self._pause_accepting()
                 return
             try:
@@ -301,7 +301,7 @@
         with suppress(OSError):
             # Bounded: a crowd that keeps coming would take the descriptors of requests in flight.
             for _ in range(LISTEN_BACKLOG):
-                if not (self.has_pending_connection() and self.has_room()):
+                if not (self.has_pending_connection() and self.has_capacity()):
                     break
                 self._start(self.socket.accept()[0], self.make_connection())
         self.socket.close()
--- a/calicofall/proxy/connection_pool.py
+++ b/calicofall/proxy/connection_pool.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from calicofall.proxy.upstream import Upstreams
 
-READY_CONNECTIONS = 2  # kept idle or coming up, beside those in use
+MIN_IDLE_CONNECTIONS = 2  # kept idle or coming up, beside those in use
 SPARE_CONNECTIONS = 6  # beyond the usual number, beside those whose reply is overdue
 SETTLE_S = 0.02  # in which an idle connection is used last: some endpoints close right behind a reply
 
@@ -30,13 +30,13 @@
         # Moves the order of proxies' turns, so that a proxy's turns at all endpoints are not at one time.
         self.order_offset = crc32(name.encode())
 
-    def acquire(self, patience_s: float) -> UpstreamConnection | None:
+    def acquire(self, max_wait_s: float) -> UpstreamConnection | None:
         """The connection for the next command: an idle one, one that comes up, or the least busy.
 
         One whose turn to be opened comes later than `patience_s` is not waited for.
         """
         now = self.upstreams.loop.time()
-        latest = now + patience_s
+        latest = now + max_wait_s
         settled = now - SETTLE_S
         free = [one for one in self.connections if not one.pending and one.opens_at <= latest]
         if len(free) > 1:
@@ -46,23 +46,23 @@
             if not connection.is_open or connection.has_no_unread_input():
                 return connection
             connection.abort()
-        return self._acquire_busy(patience_s, latest)
+        return self._acquire_busy(max_wait_s, latest)
 
-    def open_another(self, patience_s: float = 0.0) -> UpstreamConnection | None:
+    def add_connection(self, max_wait_s: float = 0.0) -> UpstreamConnection | None:
         """Makes one more connection, if there is room for it, and its turn comes within `patience_s`."""
         upstreams = self.upstreams
         quotas = upstreams.connection_quotas
         max_connections = quotas.most
         if max_connections is None:
-            max_connections = upstreams.max_per_endpoint + SPARE_CONNECTIONS
+            max_connections = upstreams.max_connections_per_endpoint + SPARE_CONNECTIONS
         address = self.address
-        if address is None or len(self.connections) >= max_connections or not upstreams.has_room():
+        if address is None or len(self.connections) >= max_connections or not upstreams.has_capacity():
             return None
         now = upstreams.loop.time()
         opens_at = quotas.begin(
-            self.name, self.order_offset, now, now + upstreams.common_clock_offset_s, patience_s > 0.0
+            self.name, self.order_offset, now, now + upstreams.common_clock_offset_s, max_wait_s > 0.0
         )
-        if opens_at > now + patience_s:
+        if opens_at > now + max_wait_s:
             quotas.back(self.name, opens_at)
             return None
         connection = UpstreamConnection(self, address)
@@ -92,18 +92,18 @@
                 upstreams.loop, connection, connection.address, upstreams.connect_timeout_s
             )
 
-    def open_ahead(self) -> None:
+    def preconnect(self) -> None:
         """Opens the connections that will be needed next.
 
         Without this requests would wait for a handshake, which a busy endpoint does behind its other work.
         """
-        if not self.upstreams.opens_ahead or not self.accepts_requests or self.address is None:
+        if not self.upstreams.preconnect_enabled or not self.accepts_requests or self.address is None:
             return
         missing = min(
-            READY_CONNECTIONS - sum(not one.pending for one in self.connections),
-            self.upstreams.max_per_endpoint - len(self.connections),
+            MIN_IDLE_CONNECTIONS - sum(not one.pending for one in self.connections),
+            self.upstreams.max_connections_per_endpoint - len(self.connections),
         )
-        while missing > 0 and self.open_another() is not None:
+        while missing > 0 and self.add_connection() is not None:
             missing -= 1
 
     def close_unused(self) -> None:
@@ -117,13 +117,13 @@
         for connection in [one for one in self.connections if one.is_idle and one.idle_since < idle_before]:
             connection.abort()
 
-    def _acquire_busy(self, patience_s: float, latest: float) -> UpstreamConnection | None:
+    def _acquire_busy(self, max_wait_s: float, latest: float) -> UpstreamConnection | None:
         """A new connection, or the one on which the fewest commands wait."""
         # An endpoint that has fallen silent would, over connections that are open, take command after command
         # to its time-out; a new connection that does not come up proves that its command has not run.
         prompt = [one for one in self.connections if not one.overdue]
-        if len(prompt) < self.upstreams.max_per_endpoint:
-            connection = self.open_another(patience_s)
+        if len(prompt) < self.upstreams.max_connections_per_endpoint:
+            connection = self.add_connection(max_wait_s)
             if connection is not None:
                 return connection
         max_pending = self.upstreams.max_pending_per_connection
--- a/calicofall/proxy/graceful_shutdown.py
+++ b/calicofall/proxy/graceful_shutdown.py
@@ -41,7 +41,7 @@
         self.is_final = False  # SIGTERM
         self.timers: list[asyncio.TimerHandle] = []
 
-    def remaining_span_s(self) -> float:
+    def in_flight_timeout_s(self) -> float:
         """How long requests in flight have to end."""
         return min(MAX_DEADLINE_S, self.longest_deadline_s())
 
@@ -50,28 +50,30 @@
         """By when a request that comes now is answered, on the loop's clock."""
         if self.began_at is None:
             return inf
-        return self.began_at + self.remaining_span_s() + ANSWER_SLACK_S
+        return self.began_at + self.in_flight_timeout_s() + ANSWER_SLACK_S
 
-    def begin(self, idle_close_delay_s: float = IDLE_CLOSE_DELAY_S, deny_ping: bool = True) -> None:
+    def begin(self, idle_close_delay_s: float = IDLE_CLOSE_DELAY_S, reject_ping: bool = True) -> None:
         """Begins the shutdown; one that is under way goes on as it is.
 
         Args:
             idle_close_delay_s: After which time idle connections close.
-            deny_ping: Whether PING is answered with an error from now on.
+            reject_ping: Whether PING is answered with an error from now on.
         """
-        self.clients.denies_ping = self.clients.denies_ping or deny_ping
+        self.clients.rejects_ping = self.clients.rejects_ping or reject_ping
         if self.began_at is not None:
             return
         self.began_at = self.loop.time()
         self.clients.close_after_reply = True
         self.timers = [
             self.loop.call_later(idle_close_delay_s, self.clients.close_idle),
-            self.loop.call_later(self.remaining_span_s() + OVERDUE_CLOSE_DELAY_S, self.close_overdue_clients),
+            self.loop.call_later(
+                self.in_flight_timeout_s() + OVERDUE_CLOSE_DELAY_S, self.close_overdue_clients
+            ),
         ]
 
     def close_overdue_clients(self) -> None:
         """Closes connections without a whole command, now and at intervals."""
-        self.clients.close_promptly()
+        self.clients.close_unfinished()
         self.timers = [self.loop.call_later(OVERDUE_CHECK_INTERVAL_S, self.close_overdue_clients)]
 
     def cancel(self) -> bool:
@@ -82,5 +84,5 @@
             timer.cancel()
         self.timers = []
         self.began_at = None
-        self.clients.keep_open()
+        self.clients.cancel_shutdown()
         return True
--- a/calicofall/proxy/management.py
+++ b/calicofall/proxy/management.py
@@ -9,16 +9,16 @@
 
 from calicofall.proxy.connection import BufferedConnection, Listener
 
-MAX_CALLERS = 12  # out of the descriptors that neither clients nor endpoints may use
+MAX_OPERATOR_CONNECTIONS = 12  # out of the descriptors that neither clients nor endpoints may use
 MAX_LINE_BYTES = 256
 CALL_TIMEOUT_S = 6.0
 LINE_FEED = 10
 
 
-class Caller(BufferedConnection):
+class OperatorConnection(BufferedConnection):
     """The connection of one operator."""
 
-    def __init__(self, management: "Management") -> None:
+    def __init__(self, management: "ManagementServer") -> None:
         super().__init__(management.loop)
         self.management = management
         self.has_answered = False
@@ -61,16 +61,16 @@
     def on_close(self) -> None:
         """The connection is over."""
         self.timer.cancel()
-        self.management.callers.pop(self, None)
+        self.management.connections.pop(self, None)
 
 
-class Management:
+class ManagementServer:
     """Listens for operators; `handle_call` gives the answer to a call."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, handle_call: Callable[[str], str]) -> None:
         self.loop = loop
         self.handle_call = handle_call
-        self.callers: dict[Caller, None] = {}  # the oldest first
+        self.connections: dict[OperatorConnection, None] = {}  # the oldest first
         self.listener: Listener | None = None
 
     def listen(self, address: tuple[str, int]) -> None:
@@ -79,19 +79,19 @@
         Raises:
             OSError: The address can't be listened at.
         """
-        self.listener = Listener(self.loop, address, self.make_room, self.admit)
+        self.listener = Listener(self.loop, address, self.ensure_capacity, self.add_connection)
 
-    def admit(self) -> Caller:
+    def add_connection(self) -> OperatorConnection:
         """Makes the connection of a new caller."""
-        caller = Caller(self)
-        self.callers[caller] = None
+        caller = OperatorConnection(self)
+        self.connections[caller] = None
         return caller
 
-    def make_room(self) -> bool:
+    def ensure_capacity(self) -> bool:
         """Ends the oldest caller that has not finished its call if there are too many; always True."""
-        if len(self.callers) >= MAX_CALLERS:
-            unanswered = next((caller for caller in self.callers if not caller.has_answered), None)
-            oldest = unanswered or next(iter(self.callers))
+        if len(self.connections) >= MAX_OPERATOR_CONNECTIONS:
+            unanswered = next((caller for caller in self.connections if not caller.has_answered), None)
+            oldest = unanswered or next(iter(self.connections))
             oldest.abort()
         return True
 
@@ -99,5 +99,5 @@
         """Stops listening and ends all callers."""
         if self.listener is not None:
             self.listener.close()
-        for caller in list(self.callers):
+        for caller in list(self.connections):
             caller.abort()
--- a/calicofall/proxy/process_lock.py
+++ b/calicofall/proxy/process_lock.py
@@ -33,8 +33,8 @@
         self.folder = f"{folder}/calicofall-{quote(name, safe='')}"
         self.path: str | None = None
         self.descriptor = -1
-        self.other_processes = 0
-        self.serving_processes = 0  # of the other processes
+        self.other_process_count = 0
+        self.serving_process_count = 0  # of the other processes
         self.failure_logged = False
         try:
             self._create()
@@ -49,9 +49,9 @@
 
     def refresh(self) -> bool:
         """Counts the other processes anew; whether their number has changed."""
-        before = self.other_processes
-        self.other_processes = 0
-        self.serving_processes = 0
+        before = self.other_process_count
+        self.other_process_count = 0
+        self.serving_process_count = 0
         try:
             for name in os.listdir(self.folder):
                 path = f"{self.folder}/{name}"
@@ -59,7 +59,7 @@
                     self._inspect(path)
         except OSError as error:
             self._log_failure(error)
-        return self.other_processes != before
+        return self.other_process_count != before
 
     def release(self) -> None:
         """Gives up the lock and removes its file."""
@@ -117,8 +117,8 @@
             fcntl.flock(descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
             Path(path).unlink(missing_ok=True)
         except BlockingIOError:
-            self.other_processes += 1
-            self.serving_processes += os.pread(descriptor, len(SERVING_STATE), 0) == SERVING_STATE
+            self.other_process_count += 1
+            self.serving_process_count += os.pread(descriptor, len(SERVING_STATE), 0) == SERVING_STATE
         finally:
             os.close(descriptor)
 
--- a/calicofall/proxy/reply_parser.py
+++ b/calicofall/proxy/reply_parser.py
@@ -11,11 +11,11 @@
 
 from calicofall.proxy.buffers import RingBuffer
 from calicofall.proxy.resp import (
-    HELD_BACK_BYTES,
     INCOMPLETE,
     MAX_VALUE_BYTES,
-    STREAM_BEGUN,
-    STREAMED_VALUE_BYTES,
+    STREAM_STARTED,
+    STREAMING_THRESHOLD_BYTES,
+    WITHHELD_TAIL_BYTES,
     ErrorReply,
     Incomplete,
     ProtocolError,
@@ -72,18 +72,18 @@
                 value, self.array = self.array, None
                 return value
 
-    def take_streamed(self) -> bytes:
+    def take_streamed_bytes(self) -> bytes:
         """Removes and returns what has come of a long value, but for the bytes to be held back."""
         data = self.ring.take(min(self.stream_bytes_left, len(self.ring)))
         self.stream_bytes_left -= len(data)
-        self.ring.reserve(min(STREAMED_VALUE_BYTES, self.stream_bytes_left + HELD_BACK_BYTES))
+        self.ring.reserve(min(STREAMING_THRESHOLD_BYTES, self.stream_bytes_left + WITHHELD_TAIL_BYTES))
         return data
 
-    def is_midway(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether a reply has begun and not ended."""
         return self.array is not None or len(self.ring) > 0
 
-    def without_load_report(self) -> list[bytes | None] | None:
+    def reply_without_load_report(self) -> list[bytes | None] | None:
         """A reply of which only the load report is missing; None if there is none."""
         if self.array is None or len(self.array) != REPLY_MEMBERS - 1:
             return None
@@ -114,7 +114,7 @@
 
     def _read_member(self, array: list[bytes | None]) -> Incomplete | None:
         """Reads on towards the next member; None if a step was made."""
-        if self.bulk_size > STREAMED_VALUE_BYTES and not array:
+        if self.bulk_size > STREAMING_THRESHOLD_BYTES and not array:
             return self._begin_stream()
         if self.bulk_size >= 0:
             return self._read_bulk(array)
@@ -125,7 +125,7 @@
         if self.bulk_size > MAX_VALUE_BYTES:
             raise ProtocolError("too large")
         if self.bulk_size >= 0:
-            self.ring.reserve(min(STREAMED_VALUE_BYTES, self.bulk_size) + 2)
+            self.ring.reserve(min(STREAMING_THRESHOLD_BYTES, self.bulk_size) + 2)
         elif not array:
             raise ProtocolError("no value")
         else:
@@ -135,9 +135,9 @@
     def _begin_stream(self) -> Incomplete:
         if not len(self.ring):
             return INCOMPLETE  # with the head alone another endpoint can still answer
-        self.stream_bytes_left = self.bulk_size - HELD_BACK_BYTES
-        self.bulk_size = HELD_BACK_BYTES
-        return STREAM_BEGUN
+        self.stream_bytes_left = self.bulk_size - WITHHELD_TAIL_BYTES
+        self.bulk_size = WITHHELD_TAIL_BYTES
+        return STREAM_STARTED
 
     def _read_bulk(self, array: list[bytes | None]) -> Incomplete | None:
         end = self.ring.peek(2, self.bulk_size) if len(self.ring) > self.bulk_size else b""
--- a/calicofall/proxy/resp.py
+++ b/calicofall/proxy/resp.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 MAX_VALUE_BYTES = 4 << 20
-STREAMED_VALUE_BYTES = 1 << 16  # over which a reply's value is passed on as it comes
-HELD_BACK_BYTES = 1 << 10  # of a streamed value, until the rest of its reply has proved right
+STREAMING_THRESHOLD_BYTES = 1 << 16  # over which a reply's value is passed on as it comes
+WITHHELD_TAIL_BYTES = 1 << 10  # of a streamed value, until the rest of its reply has proved right
 
 
 class ProtocolError(Exception):
@@ -27,7 +27,7 @@
 
 
 INCOMPLETE = Incomplete()
-STREAM_BEGUN = Incomplete()  # the head of a long reply is right; its value is to be taken as it comes
+STREAM_STARTED = Incomplete()  # the head of a long reply is right; its value is to be taken as it comes
 Value = bytes | int | list[Any] | None
 
 
@@ -41,9 +41,9 @@
     return b"*%d\r\n%b" % (len(parts), b"".join(map(encode_bulk, parts)))
 
 
-def encode_command_pieces(parts: list[bytes]) -> list[bytes]:
+def encode_command_chunks(parts: list[bytes]) -> list[bytes]:
     """A command in pieces to be written in order, so that a long value at its end is not copied."""
-    if len(parts[-1]) <= STREAMED_VALUE_BYTES:
+    if len(parts[-1]) <= STREAMING_THRESHOLD_BYTES:
         return [encode_command(parts)]
     leading_parts = b"".join(map(encode_bulk, parts[:-1]))
     head = b"*%d\r\n%b$%d\r\n" % (len(parts), leading_parts, len(parts[-1]))
--- a/calicofall/proxy/server.py
+++ b/calicofall/proxy/server.py
@@ -37,13 +37,13 @@
 from calicofall.invariants import check_invariant, violation_counts
 from calicofall.proxy import configuration_sync, resp
 from calicofall.proxy.client_connection import PendingReply
-from calicofall.proxy.client_protocol import forwarded_command, parse_request_fields
+from calicofall.proxy.client_protocol import build_forwarded_command, parse_request_fields
 from calicofall.proxy.clients import ClientConnections
 from calicofall.proxy.connection import Listener, check_address_available, open_connection
 from calicofall.proxy.discovery import Discovery
 from calicofall.proxy.gossip_transport import GossipTransport
 from calicofall.proxy.graceful_shutdown import REPLACED_IDLE_CLOSE_DELAY_S, GracefulShutdown
-from calicofall.proxy.management import Management
+from calicofall.proxy.management import ManagementServer
 from calicofall.proxy.metrics import Metrics
 from calicofall.proxy.outlier_reports import OutlierReports
 from calicofall.proxy.process_lock import ProcessLock
@@ -96,7 +96,7 @@
 
     def render(self, left: float) -> list[bytes]:
         """The command for an endpoint, which has `left` ms for its answer."""
-        return resp.encode_command_pieces(forwarded_command(self.parts, left))
+        return resp.encode_command_chunks(build_forwarded_command(self.parts, left))
 
 
 class Proxy:
@@ -201,12 +201,12 @@
         # Who is told of commands, answers and calls: at the level "proxy" alone.
         self.note_recorder = self.recorder if self.recorder is not None and self.recorder.notes else None
         self.clients = ClientConnections(
-            loop, sockets, room, self.longest_deadline_s(), self.on_request, self.on_client_left
+            loop, sockets, room, self.longest_deadline_s(), self.on_request, self.on_client_disconnected
         )
-        self.clients.other_connections = self.upstreams.connection_count
+        self.clients.count_other_connections = self.upstreams.connection_count
         self.shutdown = GracefulShutdown(loop, self.clients, self.longest_deadline_s)
-        self.management = Management(loop, self.handle_call)
-        self.upstreams.shared_budget_has_room = self.clients.make_room
+        self.management = ManagementServer(loop, self.handle_call)
+        self.upstreams.shared_budget_has_capacity = self.clients.ensure_capacity
         known, learned = node.get("known") or {}, {}
         self.snapshot_store: SnapshotStore | None = None
         if "snapshot" in self.startup:
@@ -388,7 +388,7 @@
         self.router.on_endpoint_list(self.now_ms(), kind, index, entries)
         self.upstreams.on_endpoint_list(kind, entries, addresses)
         if self.gossip is not None and kind != "cached":
-            self.gossip.list_freshness.own(self.loop.time(), index, self.upstreams.states())
+            self.gossip.list_freshness.own(self.loop.time(), index, self.upstreams.endpoint_states())
 
     def on_discovery_failure(self) -> None:
         """A call to discovery failed."""
@@ -428,11 +428,11 @@
         """Whether a decision may still be carried out; asked right before the first byte leaves."""
         if self.configuration_sync is not None:
             self.configuration_sync.refresh_if_due()
-        call = transmission.owner
+        call = transmission.active_request
         if call.reply is not None:
-            call.reply.client.has_left()
+            call.reply.client.detect_disconnect()
         return not call.request.finished and self.router.is_still_allowed(
-            self.now_ms(), call.request, transmission.number
+            self.now_ms(), call.request, transmission.attempt_index
         )
 
     # The life of an RPC
@@ -566,35 +566,48 @@
         self, transmission: UpstreamCommand, size: int, more: Callable[[], None]
     ) -> PendingReply | None:
         """The reply that takes a long answer as it comes."""
-        reply = transmission.owner.reply
+        reply = transmission.active_request.reply
         if reply is not None:
-            reply.begin_streaming(size, more)
+            reply.start_streaming(size, more)
         return reply
 
     def on_streaming(self, transmission: UpstreamCommand) -> None:
         """Some of an answer was passed on: it is the request's answer, whatever comes of it."""
-        call = transmission.owner
+        call = transmission.active_request
         call.streaming_began_at = self.now_ms()
         self.decide(
-            call, self.router.on_response_started, call.streaming_began_at, call.request, transmission.number
+            call,
+            self.router.on_response_started,
+            call.streaming_began_at,
+            call.request,
+            transmission.attempt_index,
         )
 
     def on_outcome(
         self, transmission: UpstreamCommand, outcome: str, answer: bytes, note: str | None, load: Any
     ) -> None:
         """An attempt has ended: the router decides what follows."""
-        now, call = self.now_ms(), transmission.owner
+        now, call = self.now_ms(), transmission.active_request
         rpc, reply, call.command = call.request, call.reply, None
         over = rpc.finished  # its client has left: nobody is answered
         bound = transmission.streaming or (reply is not None and reply.head_sent)
         if reply is not None and not bound:
-            reply.request_more = None
-        took = told = (call.streaming_began_at or now) - transmission.sent_at
-        name = rpc.attempts[transmission.number].endpoint
+            reply.request_next_chunk = None
+        took = told = (call.streaming_began_at or now) - transmission.sent_at_ms
+        name = rpc.attempts[transmission.attempt_index].endpoint
         if self.outliers is not None:
             told = self.outliers.fair_latency(name, rpc.name, took, len(answer))
         cache = self.decide(
-            call, self.router.report_attempt, now, rpc, transmission.number, outcome, told, note, load, bound
+            call,
+            self.router.report_attempt,
+            now,
+            rpc,
+            transmission.attempt_index,
+            outcome,
+            told,
+            note,
+            load,
+            bound,
         )
         if self.outliers is not None:
             self.outliers.on_result(name, rpc, outcome, took, len(answer))
@@ -614,7 +627,7 @@
         if self.active_requests.pop(call.request.id, None) is not None:
             self.open_ids.discard(call.parts[2])
 
-    def on_client_left(self, reply: PendingReply) -> None:
+    def on_client_disconnected(self, reply: PendingReply) -> None:
         """The client has left: attempts for it are called off."""
         call = reply.active_request
         if call is None or call.reply is None:
@@ -625,7 +638,7 @@
         # A command that waits for its connection is withdrawn also where endpoints take no cancelling, or it
         # would leave after its client.
         if transmission is not None and (off or transmission.can_be_withdrawn()):
-            self.upstreams.abandon(transmission, "cancelled")
+            self.upstreams.cancel_command(transmission, "cancelled")
         self.schedule_tick()
 
     # Time
@@ -662,14 +675,14 @@
     def adjust_to_processes(self) -> None:
         """Keeps to a part of the limits while other processes of this proxy live."""
         if self.process_lock is not None and self.process_lock.refresh():
-            parts = self.process_lock.other_processes + 1
+            parts = self.process_lock.other_process_count + 1
             log.info(
                 "processes",
-                extra={"count": parts, "serving": self.process_lock.serving_processes + self.serving()},
+                extra={"count": parts, "serving": self.process_lock.serving_process_count + self.serving()},
             )
             sockets, of_caches, self.clients.read_ahead_bytes = self.connection_budget(parts)
             self.upstreams.set_max_connections(of_caches)
-            self.clients.reduce_to(sockets)
+            self.clients.reduce_max_connections(sockets)
             self.router.set_process_count(parts)
 
     def upkeep(self) -> None:
@@ -680,7 +693,7 @@
         self.adjust_to_processes()
         if "limits found" not in self.phases.reached and self.router.has_baselines():
             self.reach_phase("limits found")
-        self.upstreams.retire_idle()
+        self.upstreams.close_expired_idle()
         self.clients.close_overdue()
         # asyncio's transports are reference cycles, which would stay in the older generations for as long as
         # only the youngest is collected.
@@ -751,8 +764,8 @@
         self.listener = Listener(
             self.loop,
             parse_address(self.node["listen"]),
-            self.clients.make_room,
-            self.clients.admit,
+            self.clients.ensure_capacity,
+            self.clients.add_client,
             shared=True,
         )
         self.process_lock.mark_serving()
@@ -885,14 +898,14 @@
         self.log_event("draining")
         self.adjust_to_processes()
         self.shutdown.is_final = True
-        if self.process_lock is not None and self.process_lock.serving_processes:
+        if self.process_lock is not None and self.process_lock.serving_process_count:
             # Clients have another process of this proxy to go to: PING goes on saying yes for it.
-            self.shutdown.begin(REPLACED_IDLE_CLOSE_DELAY_S, deny_ping=False)
+            self.shutdown.begin(REPLACED_IDLE_CLOSE_DELAY_S, reject_ping=False)
             self.stop_listening()
         else:
             self.shutdown.begin(ACCEPT_AFTER_SIGTERM_S)
             self.loop.call_later(ACCEPT_AFTER_SIGTERM_S, self.stop_listening)
-        self.loop.call_later(self.shutdown.remaining_span_s() + EXPIRE_DELAY_S, self.expire_requests)
+        self.loop.call_later(self.shutdown.in_flight_timeout_s() + EXPIRE_DELAY_S, self.expire_requests)
 
     def stop_listening(self) -> None:
         """Accepts nothing new; the proxy ends with its last connection."""
@@ -904,7 +917,7 @@
         for call in list(self.active_requests.values()):
             call.request.expires_at = min(call.request.expires_at, self.now_ms())
             if call.command is not None and not call.request.streaming:
-                self.upstreams.abandon(call.command, "timeout")
+                self.upstreams.cancel_command(call.command, "timeout")
         self.loop.call_later(STOP_DELAY_S, self.end)
 
     def end_when_idle(self) -> None:
--- a/calicofall/proxy/upstream.py
+++ b/calicofall/proxy/upstream.py
@@ -39,7 +39,7 @@
         loop: The event loop.
         caps: Settings of connections, times in ms.
         max_connections: To all endpoints together.
-        opens_ahead: Whether connections are opened before they are needed.
+        preconnect_enabled: Whether connections are opened before they are needed.
         open_connection: Opens a connection, as `connection.open_connection` does.
         find_sink: Called with a command, the size of its long answer and what asks for more of it; gives who
             takes the answer as it comes.
@@ -55,7 +55,7 @@
         loop: asyncio.AbstractEventLoop,
         caps: Mapping[str, Any],
         max_connections: int,
-        opens_ahead: bool,
+        preconnect_enabled: bool,
         open_connection: Callable[
             [asyncio.AbstractEventLoop, BufferedConnection, tuple[str, int], float], None
         ],
@@ -68,7 +68,7 @@
     ) -> None:
         self.loop = loop
         self.max_connections = max(1, max_connections)
-        self.opens_ahead = opens_ahead
+        self.preconnect_enabled = preconnect_enabled
         self.open_connection = open_connection
         self.find_sink = find_sink
         self.on_streaming = on_streaming
@@ -84,16 +84,18 @@
         self.may_send: Callable[[UpstreamCommand], bool] = (
             lambda command: True
         )  # asked right before it leaves
-        self.shared_budget_has_room: Callable[[], bool] = lambda: True  # of the budget shared with clients
+        self.shared_budget_has_capacity: Callable[[], bool] = (
+            lambda: True
+        )  # of the budget shared with clients
         self.in_flight_quota: InFlightQuota | None = None  # where the settings bound what is in flight
         self.pools: dict[str, ConnectionPool] = {}
-        self.max_per_endpoint = self.max_connections
+        self.max_connections_per_endpoint = self.max_connections
         self.entries: dict[str, tuple[Any, ...]] = {}  # of the list, as it came
         self.endpoint_names: set[str] = set()  # in the list, ready or draining
         self.malformed_count = 0  # since the last line about them
         self.next_log_at = 0.0
 
-    def log_malformed(self, name: str, reason: str) -> None:
+    def log_malformed_reply(self, name: str, reason: str) -> None:
         """Logs that an endpoint's reply was malformed, in few lines however many there are."""
         self.malformed_count += 1
         if self.loop.time() >= self.next_log_at:
@@ -107,10 +109,10 @@
         """Connections to all endpoints, also those that wait to be opened."""
         return sum(len(pool.connections) for pool in self.pools.values())
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether one more connection may be opened; the longest idle one goes for it if need be."""
         self.close_idle_over(self.max_connections - 1)
-        return self.connection_count() < self.max_connections and self.shared_budget_has_room()
+        return self.connection_count() < self.max_connections and self.shared_budget_has_capacity()
 
     def close_idle_over(self, max_count: int) -> None:
         """Closes idle connections over a number of connections, the longest idle first."""
@@ -123,13 +125,13 @@
     def set_max_connections(self, max_connections: int) -> None:
         """Sets another budget of connections."""
         self.max_connections = max(1, max_connections)
-        self.share_budget()
+        self.divide_connection_budget()
         self.close_idle_over(self.max_connections)
 
-    def share_budget(self) -> None:
+    def divide_connection_budget(self) -> None:
         """Divides the budget of connections among the endpoints there are."""
         share = self.max_connections // max(1, len(self.pools))
-        self.max_per_endpoint = max(1, min(MAX_CONNECTIONS_PER_ENDPOINT, share))
+        self.max_connections_per_endpoint = max(1, min(MAX_CONNECTIONS_PER_ENDPOINT, share))
 
     def on_endpoint_list(self, kind: str, entries: list[tuple[Any, ...]], addresses: dict[str, str]) -> None:
         """Takes over a list, or changes of it where `kind` is "delta"."""
@@ -149,11 +151,11 @@
         self.connection_quotas.keep(self.endpoint_names)
         if self.in_flight_quota is not None:
             self.in_flight_quota.keep(self.endpoint_names)
-        self.share_budget()
+        self.divide_connection_budget()
         for pool in self.pools.values():
-            pool.open_ahead()
+            pool.preconnect()
 
-    def states(self) -> dict[str, str]:
+    def endpoint_states(self) -> dict[str, str]:
         """The state of each endpoint in the list."""
         return {name: entry[4] for name, entry in self.entries.items()}
 
@@ -165,8 +167,8 @@
     def send(  # noqa: PLR0913 - an object for each attempt would cost time
         self,
         name: str,
-        owner: Any,
-        number: int,
+        active_request: Any,
+        attempt_index: int,
         render: Callable[[float], list[bytes]],
         now_ms: float,
         timeout_ms: float,
@@ -180,8 +182,8 @@
 
         Args:
             name: The endpoint.
-            owner: What the proxy knows of the request.
-            number: The attempt's index among those of its request.
+            active_request: What the proxy knows of the request.
+            attempt_index: The attempt's index among those of its request.
             render: The command's bytes in pieces, by how long is left for its answer (ms).
             now_ms: The proxy's clock.
             timeout_ms: How long the answer is waited for.
@@ -191,7 +193,7 @@
         began = self.loop.time()
         answer_due_at = began + max(0.0, timeout_ms) / 1000.0
         command = UpstreamCommand(
-            owner, number, render, now_ms, answer_due_at, began + request_left_ms / 1000.0
+            active_request, attempt_index, render, now_ms, answer_due_at, began + request_left_ms / 1000.0
         )
         command.timer = self.loop.call_at(answer_due_at, self.on_timeout, command)
         pool = self.pools.get(name)
@@ -210,7 +212,7 @@
             self.loop.call_soon(self.finish, command, "held" if has_quota else "unconnected")
             return command
         connection.send(command)
-        pool.open_ahead()
+        pool.preconnect()
         return command
 
     def on_timeout(self, command: UpstreamCommand) -> None:
@@ -220,12 +222,12 @@
         # On a connection where others wait it can't be called off, and would be in flight still while the
         # request's next attempt is sent to another endpoint.
         if left_s > 0.0 and connection is not None and connection.shares_connection(command):
-            command.timer = self.loop.call_later(left_s, self.abandon, command, "timeout")
+            command.timer = self.loop.call_later(left_s, self.cancel_command, command, "timeout")
             connection.overdue = True
         else:
-            self.abandon(command, "timeout")
+            self.cancel_command(command, "timeout")
 
-    def abandon(self, command: UpstreamCommand, outcome: str) -> None:
+    def cancel_command(self, command: UpstreamCommand, outcome: str) -> None:
         """Gives a command up: closes its connection, unless all of it has left and others wait there."""
         if command.finished:
             return
@@ -236,7 +238,7 @@
             outcome = self._call_off(command, connection, outcome)
         self.finish(command, outcome)
 
-    def begin_streaming(self, command: UpstreamCommand, connection: UpstreamConnection, size: int) -> None:
+    def start_streaming(self, command: UpstreamCommand, connection: UpstreamConnection, size: int) -> None:
         """The head of a long answer is right: from here on only a stall ends it."""
         if not command.finished:
             command.timer.cancel()
@@ -266,7 +268,7 @@
             self.loop.call_soon(connection.resume_streaming)  # nobody takes the rest: it is read past
         self.on_outcome(command, outcome, answer, note, load)
 
-    def retire_idle(self) -> None:
+    def close_expired_idle(self) -> None:
         """Closes idle connections before the endpoints do: a command sent to a closed one may have run."""
         oldest = self.loop.time() - self.idle_timeout_s
         for pool in self.pools.values():
@@ -316,5 +318,5 @@
         # removed first, so that the abort does not tell its outcome.
         connection.pending.remove(command)
         connection.abort()
-        connection.pool.open_ahead()
+        connection.pool.preconnect()
         return outcome
--- a/calicofall/proxy/upstream_command.py
+++ b/calicofall/proxy/upstream_command.py
@@ -11,10 +11,10 @@
 class AnswerSink(Protocol):
     """Where a long answer is passed on to as it comes."""
 
-    def has_room(self) -> bool:
+    def can_accept_chunk(self) -> bool:
         """Whether the next piece may be written."""
 
-    def write_piece(self, data: bytes) -> None:
+    def write_chunk(self, data: bytes) -> None:
         """Takes the next piece."""
 
 
@@ -22,19 +22,19 @@
     """One attempt on its way.
 
     Args:
-        owner: What the proxy knows of the request.
-        number: The attempt's index among those of its request.
+        active_request: What the proxy knows of the request.
+        attempt_index: The attempt's index among those of its request.
         render: The command's bytes in pieces, by how long is left for its answer (ms) when they go out.
-        sent_at: When the attempt was decided (ms, the proxy's clock).
+        sent_at_ms: When the attempt was decided (ms, the proxy's clock).
         answer_due_at: Until when its answer is waited for (s, the loop's clock).
         request_due_at: When its request is over (s, the loop's clock).
     """
 
     __slots__ = (
-        "owner",
-        "number",
+        "active_request",
+        "attempt_index",
         "render",
-        "sent_at",
+        "sent_at_ms",
         "answer_due_at",
         "request_due_at",
         "end_offset",
@@ -48,17 +48,17 @@
 
     def __init__(
         self,
-        owner: Any,
-        number: int,
+        active_request: Any,
+        attempt_index: int,
         render: Callable[[float], list[bytes]],
-        sent_at: float,
+        sent_at_ms: float,
         answer_due_at: float,
         request_due_at: float,
     ) -> None:
-        self.owner = owner
-        self.number = number
+        self.active_request = active_request
+        self.attempt_index = attempt_index
         self.render = render
-        self.sent_at = sent_at
+        self.sent_at_ms = sent_at_ms
         self.answer_due_at = answer_due_at
         self.request_due_at = request_due_at
         self.end_offset = 0  # where its last byte stands among all that its connection has queued
--- a/calicofall/proxy/upstream_connection.py
+++ b/calicofall/proxy/upstream_connection.py
@@ -87,9 +87,9 @@
             except resp.ProtocolError as error:
                 self.fail_malformed(str(error))
                 return
-            if value is resp.STREAM_BEGUN:
-                size = self.parser.stream_bytes_left + resp.HELD_BACK_BYTES
-                self.pool.upstreams.begin_streaming(self.pending[0], self, size)
+            if value is resp.STREAM_STARTED:
+                size = self.parser.stream_bytes_left + resp.WITHHELD_TAIL_BYTES
+                self.pool.upstreams.start_streaming(self.pending[0], self, size)
                 # The client's turn may have come at once, in which all that has come was passed on: the
                 # state is read anew.
             elif value is not resp.INCOMPLETE:
@@ -102,14 +102,14 @@
         """Passes on what has come of a long value; True once only the held back end is missing."""
         command = self.pending[0]
         sink = None if command.finished else command.sink
-        self.set_reading_paused(sink is not None and not sink.has_room())
+        self.set_reading_paused(sink is not None and not sink.can_accept_chunk())
         if not self.reading_paused:
-            piece = self.parser.take_streamed()
+            piece = self.parser.take_streamed_bytes()
             if piece and sink is not None:
                 if not command.streaming:
                     command.streaming = True
                     self.pool.upstreams.on_streaming(command)
-                sink.write_piece(piece)
+                sink.write_chunk(piece)
         return not self.parser.stream_bytes_left
 
     def set_reading_paused(self, paused: bool) -> None:
@@ -146,7 +146,7 @@
         Without this a reply that never ends would be waited for until the command's time is up.
         """
         self.stall_timer = None
-        if self.closed or self.reading_paused or not self.parser.is_midway():
+        if self.closed or self.reading_paused or not self.parser.has_partial_message():
             return
         # A client may have got some of a long answer, which no other endpoint can finish: it gets more time.
         is_streamed = self.pending and self.pending[0].sink is not None
@@ -160,8 +160,8 @@
     def fail_malformed(self, reason: str) -> None:
         """Ends the connection: what came is no reply, and nothing more of use will come."""
         self.malformed = True
-        if self.parser.without_load_report() is None:
-            self.pool.upstreams.log_malformed(self.pool.name, reason)
+        if self.parser.reply_without_load_report() is None:
+            self.pool.upstreams.log_malformed_reply(self.pool.name, reason)
         self.abort()
 
     def has_no_unread_input(self) -> bool:
@@ -194,7 +194,7 @@
         self.pending = deque()
         if self.stall_timer is not None:
             self.stall_timer.cancel()
-        value = self.parser.without_load_report()
+        value = self.parser.reply_without_load_report()
         if value is not None and commands:  # good but for its load report
             self.pool.upstreams.finish(commands.popleft(), *parse_reply(value))
         may_have_run = "spoilt" if self.malformed else "reset"
@@ -227,7 +227,7 @@
     def _await_rest(self) -> None:
         """Sees to it that a reply that has begun goes on."""
         self.progress_at = self.loop.time()
-        if self.stall_timer is None and self.parser.is_midway() and not self.reading_paused:
+        if self.stall_timer is None and self.parser.has_partial_message() and not self.reading_paused:
             self.stall_timer = self.loop.call_later(STALL_TIMEOUT_S, self.check_stall)
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -271,7 +271,7 @@
         self.proxy = Proxy(self.node(caches, sockets, **settings), self.loop, self.loop.open)
         self.proxy.listener = type("Door", (), {"close": lambda self: None})()
         if not ahead:  # most tests look at one connection
-            self.proxy.upstreams.opens_ahead = False
+            self.proxy.upstreams.preconnect_enabled = False
             self.proxy.upstreams.close()
             self.loop.opened.clear()
 
@@ -282,7 +282,7 @@
         return self
 
     def client(self, room: int | None = None) -> Wire | None:
-        return Wire(self.proxy.clients.admit(), room) if self.proxy.clients.make_room() else None
+        return Wire(self.proxy.clients.add_client(), room) if self.proxy.clients.ensure_capacity() else None
 
     def line(self, number: int = -1, room: int | None = None) -> Wire:
         """A connection to a cache that was asked for comes up."""
--- a/tests/rogues.py
+++ b/tests/rogues.py
@@ -65,10 +65,10 @@
         other = next((p for p in self.pools.values() if p is not pool and p.accepts_requests), None)
         if other is not None:
             extra = upstream.UpstreamCommand(
-                sending.owner,
+                sending.active_request,
                 0,
                 sending.render,
-                sending.sent_at,
+                sending.sent_at_ms,
                 sending.answer_due_at,
                 sending.request_due_at,
             )
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -28,7 +28,7 @@
 
 from calicofall.proxy import resp
 from calicofall.proxy.client_connection import MAX_PIPELINED_COMMANDS
-from calicofall.proxy.clients import IDLE_ALLOWANCE_S
+from calicofall.proxy.clients import EXCESS_IDLE_TIMEOUT_S
 from calicofall.proxy.connection import LINGER_S, BufferedConnection, Listener, open_connection
 from calicofall.proxy.discovery import Discovery
 from calicofall.proxy.server import Proxy
@@ -72,10 +72,14 @@
         self.proxy = Proxy(node, self.loop)
         for limit in (self.proxy.router.policy.fleet, self.proxy.router.policy.origin):
             limit.value, limit.spare = 1000.0, 2_000_000.0
-        self.proxy.upstreams.opens_ahead = False
+        self.proxy.upstreams.preconnect_enabled = False
         self.proxy.upstreams.close()
         self.proxy.listener = Listener(
-            self.loop, ("127.0.0.1", 0), self.proxy.clients.make_room, self.proxy.clients.admit, shared=True
+            self.loop,
+            ("127.0.0.1", 0),
+            self.proxy.clients.ensure_capacity,
+            self.proxy.clients.add_client,
+            shared=True,
         )
         self.place = self.proxy.listener.socket.getsockname()
         self.plugs: list[socket.socket] = []
@@ -241,7 +245,7 @@
     for client in clients:
         client.feed(data[:10])
     desk.proxy.upkeep()
-    desk.loop.run(4 * IDLE_ALLOWANCE_S)
+    desk.loop.run(4 * EXCESS_IDLE_TIMEOUT_S)
     assert all(client.open and not client.ended for client in clients)
 
 
@@ -275,7 +279,7 @@
     gone(plug, stream)
     assert stream.reading_paused and not stream.closed
     live.proxy.upkeep()  # no answer has come from anywhere
-    assert stream.closed and not live.proxy.active_requests and not live.proxy.clients.held_bytes
+    assert stream.closed and not live.proxy.active_requests and not live.proxy.clients.buffered_bytes
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -442,7 +446,7 @@
 def test_half_a_command_at_the_end_of_rest_gets_its_answer(live: Live) -> None:
     plug, data = live.client(), ask(key=1)
     plug.sendall(data[:30])
-    live.until(lambda: live.proxy.clients.partial)
+    live.until(lambda: live.proxy.clients.partial_commands)
     live.proxy.shutdown.begin()
     live.proxy.clients.close_idle()
     plug.sendall(data[30:])
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -6,7 +6,7 @@
 from helpers import Desk, Wire, ask, reply
 
 from calicofall.proxy import client_connection, clients, resp, upstream_connection
-from calicofall.proxy.resp import HELD_BACK_BYTES, MAX_VALUE_BYTES, STREAMED_VALUE_BYTES
+from calicofall.proxy.resp import MAX_VALUE_BYTES, STREAMING_THRESHOLD_BYTES, WITHHELD_TAIL_BYTES
 
 PING = resp.encode_command([b"PING"])
 
@@ -40,11 +40,11 @@
     line.feed(data[20 : 1 << 20])
     assert (
         len(client.sent) > (1 << 20) - 100
-        and len(line.stream.input.memory) <= STREAMED_VALUE_BYTES + 2 * HELD_BACK_BYTES
+        and len(line.stream.input.memory) <= STREAMING_THRESHOLD_BYTES + 2 * WITHHELD_TAIL_BYTES
     )
     line.feed(data[1 << 20 : -10])
     assert (
-        len(client.sent) == len(resp.encode_bulk(value)) - HELD_BACK_BYTES - 2
+        len(client.sent) == len(resp.encode_bulk(value)) - WITHHELD_TAIL_BYTES - 2
     )  # the tail waits for the rest of the reply
     assert desk.proxy.metrics.totals()["completed"] == 0
     line.feed(data[-10:])
@@ -65,9 +65,9 @@
                 [
                     0,
                     9,
-                    STREAMED_VALUE_BYTES,
-                    STREAMED_VALUE_BYTES + 1,
-                    STREAMED_VALUE_BYTES + HELD_BACK_BYTES,
+                    STREAMING_THRESHOLD_BYTES,
+                    STREAMING_THRESHOLD_BYTES + 1,
+                    STREAMING_THRESHOLD_BYTES + WITHHELD_TAIL_BYTES,
                     300_000,
                 ]
             )
@@ -167,7 +167,7 @@
 
 def test_no_time_out_cuts_what_the_cache_still_gives() -> None:
     """From its first byte on the RPC is answered: nothing is sent elsewhere, nothing called off."""
-    desk, value = Desk().spacious(), big(STREAMED_VALUE_BYTES * 4)
+    desk, value = Desk().spacious(), big(STREAMING_THRESHOLD_BYTES * 4)
     client, line = asked(desk, patience="300")
     data = reply(value)
     for at in range(0, len(data), 20_000):
@@ -282,7 +282,7 @@
     line = desk.line()
     assert line.sent.endswith(value + b"\r\n") and line.sent.count(b"C.SET") == 1
     line.feed(reply(b"stored"))
-    assert client.sent == b"$6\r\nstored\r\n" and desk.proxy.clients.held_bytes == 0
+    assert client.sent == b"$6\r\nstored\r\n" and desk.proxy.clients.buffered_bytes == 0
 
 
 def test_large_commands_wait_for_memory_and_all_arrive() -> None:
@@ -300,7 +300,7 @@
                 if not left[client]:
                     del left[client]
             waited += client.paused
-        most = max(most, desk.proxy.clients.partial_bytes)
+        most = max(most, desk.proxy.clients.partial_command_bytes)
         for stream in [stream for stream, _ in desk.loop.opened if stream.pending]:
             (stream.transport or Wire(stream)).feed(reply(b"stored"))
         desk.loop.run(0.01)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -16,15 +16,15 @@
 
 def test_processes_of_one_proxy_know_of_each_other_and_who_serves(tmp_path: Path) -> None:
     first, stranger = ProcessLock("n0", str(tmp_path)), ProcessLock("n1", str(tmp_path))
-    assert not first.refresh() and first.other_processes == 0
+    assert not first.refresh() and first.other_process_count == 0
     first.mark_serving()
     second = ProcessLock("n0", str(tmp_path))
-    assert second.refresh() and (second.other_processes, second.serving_processes) == (1, 1)
-    assert first.refresh() and (first.other_processes, first.serving_processes) == (1, 0)
+    assert second.refresh() and (second.other_process_count, second.serving_process_count) == (1, 1)
+    assert first.refresh() and (first.other_process_count, first.serving_process_count) == (1, 0)
     second.mark_serving()
-    assert not first.refresh() and first.serving_processes == 1
+    assert not first.refresh() and first.serving_process_count == 1
     first.release()
-    assert second.refresh() and second.other_processes == 0
+    assert second.refresh() and second.other_process_count == 0
     second.release()
     stranger.release()
     assert not list(tmp_path.iterdir())
@@ -51,14 +51,14 @@
 
     monkeypatch.setattr(leases, "mkstemp", robbed)
     lease, other = ProcessLock("n0", str(tmp_path)), ProcessLock("n0", str(tmp_path))
-    assert len(made) == 3 and other.refresh() and other.other_processes == 1 and lease.path == made[1][1]
+    assert len(made) == 3 and other.refresh() and other.other_process_count == 1 and lease.path == made[1][1]
 
 
 def test_without_a_folder_or_a_lock_the_sharing_alone_is_lost(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     missing = ProcessLock("n0", str(tmp_path / "missing"))
-    assert not missing.refresh() and not missing.refresh() and missing.other_processes == 0
+    assert not missing.refresh() and not missing.refresh() and missing.other_process_count == 0
     missing.mark_serving()
     missing.release()
     assert [record.message for record in caplog.records] == ["no lease"]  # once
@@ -83,7 +83,7 @@
     assert (
         other.descriptor == -1
         and other.refresh()
-        and (other.other_processes, other.serving_processes) == (1, 0)
+        and (other.other_process_count, other.serving_process_count) == (1, 0)
     )
     lease.release()
     assert not list(tmp_path.iterdir())
@@ -150,8 +150,8 @@
 
     def close(self) -> None:
         self.steps.append("close")
-        self.clients.admit()
-        self.clients.admit()
+        self.clients.add_client()
+        self.clients.add_client()
 
 
 def test_sigterm_hands_over_to_a_process_that_serves(tmp_path: Path) -> None:
@@ -186,7 +186,7 @@
     desk.proxy.process_lock = ProcessLock("n0", str(tmp_path))
     ProcessLock("n0", str(tmp_path))
     desk.sigterm()
-    assert not desk.proxy.listener.steps and desk.proxy.clients.denies_ping
+    assert not desk.proxy.listener.steps and desk.proxy.clients.rejects_ping
     desk.loop.run(1.0)
     assert desk.proxy.listener.steps == ["close"]
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -200,7 +200,7 @@
     assert len(desk.loop.opened) == opened + 1
     assert desk.proxy.upstreams.endpoint_names == {"c1", "c2", "c3"}
     desk.list(endpoint("c1", "DRAINING"))
-    assert desk.proxy.upstreams.states()["c1"] == "draining"
+    assert desk.proxy.upstreams.endpoint_states()["c1"] == "draining"
 
 
 def test_once_more_while_waiting_for_a_time_slot_keeps_the_slot() -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,7 +10,7 @@
 from calicofall.config.endpoint_list import parse_endpoint_list
 from calicofall.proxy import resp
 from calicofall.proxy.buffers import MIN_CAPACITY_BYTES, RingBuffer
-from calicofall.proxy.client_protocol import forwarded_command, parse_request_fields
+from calicofall.proxy.client_protocol import build_forwarded_command, parse_request_fields
 from calicofall.proxy.command_parser import CommandParser
 from calicofall.proxy.discovery import SILENCE_TIMEOUT_S, Discovery
 from calicofall.proxy.server import LIST_WAIT_S, Proxy
@@ -129,7 +129,11 @@
         "patience": 480.0,
         "repeat": True,
     }
-    assert forwarded_command(parts, 99.2) == [*parts[:3], b"c=save,t=acme,d=100,k=5c0f,r=1,size=12", b"VALUE"]
+    assert build_forwarded_command(parts, 99.2) == [
+        *parts[:3],
+        b"c=save,t=acme,d=100,k=5c0f,r=1,size=12",
+        b"VALUE",
+    ]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -13,14 +13,14 @@
 from helpers import SETTINGS, Desk, Wire, ask, endpoint, reply
 
 from calicofall.proxy import graceful_shutdown, resp
-from calicofall.proxy.management import CALL_TIMEOUT_S, MAX_CALLERS, MAX_LINE_BYTES
+from calicofall.proxy.management import CALL_TIMEOUT_S, MAX_LINE_BYTES, MAX_OPERATOR_CONNECTIONS
 from calicofall.routing.decisions import Wait
 
 PING = resp.encode_command([b"PING"])
 
 
 def call(desk: Desk, data: bytes) -> bytes:
-    caller = Wire(desk.proxy.management.admit())
+    caller = Wire(desk.proxy.management.add_connection())
     caller.feed(data)
     return caller.sent
 
@@ -51,17 +51,17 @@
 )
 def test_one_line_has_one_answer_and_a_close(data: bytes, said: bytes) -> None:
     desk = Desk()
-    caller = Wire(desk.proxy.management.admit())
+    caller = Wire(desk.proxy.management.add_connection())
     caller.feed(data)
     assert caller.sent.startswith(said) and caller.sent.count(b"\n") == 1
     desk.loop.run(0.3)
-    assert not caller.open and not desk.proxy.management.callers
+    assert not caller.open and not desk.proxy.management.connections
     assert (desk.proxy.shutdown.began_at is not None) is (data == b"quiesce\n")
 
 
 def test_a_line_in_pieces_is_read_and_half_a_line_leaves_no_trace() -> None:
     desk = Desk()
-    caller, half = (Wire(desk.proxy.management.admit()) for _ in range(2))
+    caller, half = (Wire(desk.proxy.management.add_connection()) for _ in range(2))
     for piece in (b"hea", b"l", b"th\r", b"\n"):
         assert not caller.sent
         caller.feed(piece)
@@ -75,11 +75,11 @@
     """They would have kept the descriptors there are, or the address to themselves."""
     desk = Desk()
     slow = []
-    for _ in range(MAX_CALLERS):
-        assert desk.proxy.management.make_room()
-        slow.append(Wire(desk.proxy.management.admit()))
+    for _ in range(MAX_OPERATOR_CONNECTIONS):
+        assert desk.proxy.management.ensure_capacity()
+        slow.append(Wire(desk.proxy.management.add_connection()))
         slow[-1].feed(b"coun")
-    assert desk.proxy.management.make_room()
+    assert desk.proxy.management.ensure_capacity()
     assert not slow[0].open and all(caller.open for caller in slow[1:])  # the oldest goes for the next
     assert call(desk, b"health\n") == b"+OK serving\n"
     desk.loop.run(4.5)
@@ -313,7 +313,7 @@
 
 def test_a_caller_that_does_not_read_its_answer_is_cut() -> None:
     desk = Desk()
-    caller = Wire(desk.proxy.management.admit(), room=10)
+    caller = Wire(desk.proxy.management.add_connection(), room=10)
     caller.feed(b"counters\n")
     desk.loop.run(CALL_TIMEOUT_S + 0.1)
-    assert not caller.open and not desk.proxy.management.callers
+    assert not caller.open and not desk.proxy.management.connections
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -23,7 +23,7 @@
 from calicofall.proxy.client_protocol import parse_request_fields
 from calicofall.proxy.clients import IDLE_BUDGET_DIVISOR
 from calicofall.proxy.connection import ACCEPTS_PER_TURN, MAX_DISCARDED_BYTES, Listener
-from calicofall.proxy.connection_pool import READY_CONNECTIONS
+from calicofall.proxy.connection_pool import MIN_IDLE_CONNECTIONS
 from calicofall.routing.request import Request
 from calicofall.routing.router import Router
 from calicofall.simulator_adapter import host
@@ -118,7 +118,7 @@
 def test_what_still_lay_in_our_buffer_has_not_run() -> None:
     """Bytes held back behind a full socket never left: only those count as proof."""
     desk = Desk(caches=1)
-    desk.proxy.upstreams.max_per_endpoint = 1  # the second is written behind the first
+    desk.proxy.upstreams.max_connections_per_endpoint = 1  # the second is written behind the first
     client, other = desk.client(), desk.client()
     client.feed(ask("order", key=1, value=bytes(50_000)))
     line = desk.line(room=100)
@@ -131,7 +131,7 @@
 
 def test_a_late_reply_is_matched_to_nothing() -> None:
     desk = Desk(caches=1)
-    desk.proxy.upstreams.max_per_endpoint = 1
+    desk.proxy.upstreams.max_connections_per_endpoint = 1
     client, other = desk.client(), desk.client()
     client.feed(ask(patience="100"))
     line = desk.line()
@@ -145,7 +145,7 @@
 def test_a_connection_whose_answer_is_overdue_takes_nothing_new() -> None:
     """A silent machine's open connections held RPC after RPC; a new one that fails proves them not run."""
     desk = Desk(caches=1).spacious()
-    desk.proxy.upstreams.max_per_endpoint = 2
+    desk.proxy.upstreams.max_connections_per_endpoint = 2
     clients = [desk.client() for _ in range(5)]
     for client, patience in zip(clients[:4], ("100", "100", "900", "900"), strict=True):
         client.feed(ask(patience=patience))
@@ -166,7 +166,7 @@
     """On a connection that others shared the first copy was still out while the second went elsewhere."""
     for shared in (False, True):
         desk = Desk(caches=2).spacious()
-        desk.proxy.upstreams.max_per_endpoint, policy = 1, desk.proxy.router.policy
+        desk.proxy.upstreams.max_connections_per_endpoint, policy = 1, desk.proxy.router.policy
         policy.timeouts.attempt_timeout_ms = lambda left, *_: 100.0
         client, other = desk.client(), desk.client()
         client.feed(ask(patience="400"))
@@ -183,16 +183,16 @@
 def test_connections_rest_ready_before_they_are_needed() -> None:
     """A busy cache does a handshake behind its other work: first answers took two to four times as long."""
     desk = Desk(caches=1, ahead=True).spacious()
-    assert len(desk.loop.opened) == READY_CONNECTIONS
-    lines = [desk.line(number) for number in range(READY_CONNECTIONS)]
+    assert len(desk.loop.opened) == MIN_IDLE_CONNECTIONS
+    lines = [desk.line(number) for number in range(MIN_IDLE_CONNECTIONS)]
     client, other = desk.client(), desk.client()
     client.feed(ask(patience="100"))
     other.feed(ask())
-    assert all(line.sent for line in lines) and len(desk.loop.opened) == 2 * READY_CONNECTIONS
+    assert all(line.sent for line in lines) and len(desk.loop.opened) == 2 * MIN_IDLE_CONNECTIONS
     desk.loop.run(0.2)
     assert (
-        sum(line.open for line in lines) == READY_CONNECTIONS - 1
-        and desk.proxy.upstreams.connection_count() == 2 * READY_CONNECTIONS - 1
+        sum(line.open for line in lines) == MIN_IDLE_CONNECTIONS - 1
+        and desk.proxy.upstreams.connection_count() == 2 * MIN_IDLE_CONNECTIONS - 1
     )
     for many in (8, 300):
         assert not Desk(caches=1, ahead=True, balancers=many).loop.opened  # together they pay for them
@@ -219,7 +219,7 @@
 def test_little_is_read_ahead_once_much_is_in_hand() -> None:
     """Many clients that pipeline large values would fill the memory there is."""
     desk = Desk()
-    desk.proxy.clients.held_bytes = desk.proxy.clients.read_ahead_bytes
+    desk.proxy.clients.buffered_bytes = desk.proxy.clients.read_ahead_bytes
     client = desk.client()
     client.feed(ask(key=1) + ask(key=1))
     assert len(client.stream.replies) == 1 and client.paused
@@ -373,10 +373,10 @@
     line = desk.line()
     line.feed(reply())
     desk.loop.run(26.0)
-    desk.proxy.upstreams.retire_idle()
+    desk.proxy.upstreams.close_expired_idle()
     assert line.open
     desk.loop.run(2.0)
-    desk.proxy.upstreams.retire_idle()
+    desk.proxy.upstreams.close_expired_idle()
     assert not line.open
 
 
@@ -502,7 +502,7 @@
     assert clients[0].sent.startswith(b"-ERR") and not clients[-1].sent
     for client in clients:
         client.abort()
-    assert desk.proxy.clients.partial_bytes == 0 and desk.proxy.clients.held_bytes == 0
+    assert desk.proxy.clients.partial_command_bytes == 0 and desk.proxy.clients.buffered_bytes == 0
 
 
 def test_wrong_commands_without_end_close_the_connection() -> None:
@@ -534,7 +534,7 @@
     """At its last descriptor asyncio's server said so 512 times, then took nobody for a second."""
     desk, taken, watched = Desk(), [], []
     door = Listener.__new__(Listener)
-    door.loop, door.has_room, door.make_connection = desk.loop, lambda: True, lambda: None
+    door.loop, door.has_capacity, door.make_connection = desk.loop, lambda: True, lambda: None
     door.has_pending_connection = lambda: True
     door.socket = type("Plug", (), {"fileno": lambda self: 9, "accept": lambda self: (None, None)})()
     desk.loop.add_reader = lambda fileno, call: watched.append(call)
@@ -569,7 +569,7 @@
 def test_nothing_leaves_for_an_rpc_whose_time_is_up() -> None:
     """Its bytes lay behind a full socket, and would have gone to the cache after the final answer."""
     desk = Desk(caches=1)
-    desk.proxy.upstreams.max_per_endpoint = 1
+    desk.proxy.upstreams.max_connections_per_endpoint = 1
     client, other = desk.client(), desk.client()
     client.feed(ask("save", value=bytes(50_000)))
     line = desk.line(room=100)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -453,7 +453,7 @@
         "c1", pool.order_offset, now, now + desk.proxy.upstreams.common_clock_offset_s
     )
     desk.proxy.connection_quotas.back("c1", slot)
-    connection = pool.open_another(5.0)
+    connection = pool.add_connection(5.0)
     assert connection is not None
     assert connection.opens_at >= now
     desk.loop.calls = [call for call in desk.loop.calls if call.call != pool.open_when_due]
