--- a/calicofall/fleet/rate_slots.py
+++ b/calicofall/fleet/rate_slots.py
@@ -111,7 +111,9 @@
         round_s = SLOTS_PER_PROXY * time_slots.period_s
         round_start = self._round_start(time_slots)
         firsts = (
-            round_start + (owner + time_slots.offset) % self.proxies * time_slots.gap_s + slot * time_slots.period_s
+            round_start
+            + (owner + time_slots.offset) % self.proxies * time_slots.gap_s
+            + slot * time_slots.period_s
             for owner, slot in self.owned_slots(now)
         )
         return min(first + -((first - after) // round_s) * round_s for first in firsts)
@@ -127,7 +129,9 @@
     @staticmethod
     def _round_start(time_slots: TimeSlots) -> float:
         """When the round began in which the time slots were set up."""
-        return time_slots.created_at_s - time_slots.created_at_wall_s % (SLOTS_PER_PROXY * time_slots.period_s)
+        return time_slots.created_at_s - time_slots.created_at_wall_s % (
+            SLOTS_PER_PROXY * time_slots.period_s
+        )
 
 
 class SlotDemand:
--- a/calicofall/routing/gossip_exchange.py
+++ b/calicofall/routing/gossip_exchange.py
@@ -53,7 +53,9 @@
         waits = [(mark, total / count) for mark, (total, count) in self.pending_waits.items()]
         message = encode_hint(int(self.arrivals.count(now)), waits)
         self.pending_waits = {}
-        for peer in [random_generator.randrange(self.peer_count) for _ in range(min(FANOUT, self.peer_count))]:
+        for peer in [
+            random_generator.randrange(self.peer_count) for _ in range(min(FANOUT, self.peer_count))
+        ]:
             self._outbox.add(SendGossip(peer + (peer >= self.own_number), message))
 
     def receive(self, now: float, peer: int, message: bytes) -> list[tuple[int, float]]:
--- a/calicofall/routing/retry_policy.py
+++ b/calicofall/routing/retry_policy.py
@@ -127,7 +127,12 @@
         return is_repeat_safe(now, method, request.first_possibly_run())
 
     def may_retry(
-        self, now: float, request: Request, outcome: AttemptOutcome, remaining_ms: float, random_generator: Random
+        self,
+        now: float,
+        request: Request,
+        outcome: AttemptOutcome,
+        remaining_ms: float,
+        random_generator: Random,
     ) -> bool:
         """Whether a request whose attempt failed is to be sent again, and pays for it.
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -302,7 +302,7 @@
         self.proxy = Proxy(self.node_file(caches, sockets, **settings), self.loop, self.loop.open)
         self.proxy.listener = type("Door", (), {"close": lambda self: None})()
         if not connect_ahead:  # most tests examine a single connection
-            self.proxy.upstreams.opens_ahead = False
+            self.proxy.upstreams.preconnect_enabled = False
             self.proxy.upstreams.close()
             self.loop.connect_requests.clear()
 
@@ -315,8 +315,8 @@
     def client(self, pause_after_bytes: int | None = None) -> FakeTransport | None:
         """Connects a client; returns None if the proxy has no room for it."""
         return (
-            FakeTransport(self.proxy.clients.admit(), pause_after_bytes)
-            if self.proxy.clients.make_room()
+            FakeTransport(self.proxy.clients.add_client(), pause_after_bytes)
+            if self.proxy.clients.ensure_capacity()
             else None
         )
 
--- a/tests/rogues.py
+++ b/tests/rogues.py
@@ -71,10 +71,10 @@
         other_pool = next((p for p in self.pools.values() if p is not pool and p.accepts_requests), None)
         if other_pool is not None:
             copy = upstream.UpstreamCommand(
-                command.owner,
+                command.active_request,
                 0,
                 command.render,
-                command.sent_at,
+                command.sent_at_ms,
                 command.answer_due_at,
                 command.request_due_at,
             )
@@ -144,9 +144,9 @@
     from calicofall.fleet.outlier_consensus import OutlierConsensus
 
     build_evidence = OutlierConsensus._make_message
-    OutlierConsensus._make_message = lambda self, now, *arguments: build_evidence(self, now, *arguments)._replace(
-        successes=0, failures=10_000, last_success_age_ms=3_600_000
-    )
+    OutlierConsensus._make_message = lambda self, now, *arguments: build_evidence(
+        self, now, *arguments
+    )._replace(successes=0, failures=10_000, last_success_age_ms=3_600_000)
     OutlierConsensus._endpoints_to_query = lambda self, now, doubted: sorted(
         self.listed, key=lambda cache: self.random_generator.random()
     )
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -390,7 +390,9 @@
     methods = [method | {"late_gain": late} for method in deployment_settings()["methods"]]
     assert RoutingPolicy(deployment_settings(methods=methods), 1, 0.0).settings.max_useful_fetch_ms == useful
     assert (
-        RoutingPolicy(deployment_settings(cache_aside=True, methods=methods), 1, 0.0).settings.max_useful_fetch_ms
+        RoutingPolicy(
+            deployment_settings(cache_aside=True, methods=methods), 1, 0.0
+        ).settings.max_useful_fetch_ms
         == 500.0
     )
 
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -6,7 +6,7 @@
 from helpers import FakeTransport, ProxyHarness, encode_reply, encode_request
 
 from calicofall.proxy import client_connection, clients, resp, upstream_connection
-from calicofall.proxy.resp import HELD_BACK_BYTES, MAX_VALUE_BYTES, STREAMED_VALUE_BYTES
+from calicofall.proxy.resp import MAX_VALUE_BYTES, STREAMING_THRESHOLD_BYTES, WITHHELD_TAIL_BYTES
 
 PING = resp.encode_command([b"PING"])
 
@@ -42,11 +42,11 @@
     upstream.feed(data[20 : 1 << 20])
     assert (
         len(client.sent) > (1 << 20) - 100
-        and len(upstream.stream.input.memory) <= STREAMED_VALUE_BYTES + 2 * HELD_BACK_BYTES
+        and len(upstream.stream.input.memory) <= STREAMING_THRESHOLD_BYTES + 2 * WITHHELD_TAIL_BYTES
     )
     upstream.feed(data[1 << 20 : -10])
     assert (
-        len(client.sent) == len(resp.encode_bulk(value)) - HELD_BACK_BYTES - 2
+        len(client.sent) == len(resp.encode_bulk(value)) - WITHHELD_TAIL_BYTES - 2
     )  # the tail waits for the rest of the reply
     assert harness.proxy.metrics.totals()["completed"] == 0
     upstream.feed(data[-10:])
@@ -67,9 +67,9 @@
                 [
                     0,
                     9,
-                    STREAMED_VALUE_BYTES,
-                    STREAMED_VALUE_BYTES + 1,
-                    STREAMED_VALUE_BYTES + HELD_BACK_BYTES,
+                    STREAMING_THRESHOLD_BYTES,
+                    STREAMING_THRESHOLD_BYTES + 1,
+                    STREAMING_THRESHOLD_BYTES + WITHHELD_TAIL_BYTES,
                     300_000,
                 ]
             )
@@ -181,7 +181,7 @@
 
 def test_no_time_out_cuts_what_the_cache_still_gives() -> None:
     """From its first byte on the RPC is answered: nothing is sent elsewhere, nothing called off."""
-    harness, value = ProxyHarness().with_high_limits(), big(STREAMED_VALUE_BYTES * 4)
+    harness, value = ProxyHarness().with_high_limits(), big(STREAMING_THRESHOLD_BYTES * 4)
     client, upstream = asked(harness, remaining_ms="300")
     data = encode_reply(value)
     for at in range(0, len(data), 20_000):
@@ -300,7 +300,7 @@
     upstream = harness.connect_upstream()
     assert upstream.sent.endswith(value + b"\r\n") and upstream.sent.count(b"C.SET") == 1
     upstream.feed(encode_reply(b"stored"))
-    assert client.sent == b"$6\r\nstored\r\n" and harness.proxy.clients.held_bytes == 0
+    assert client.sent == b"$6\r\nstored\r\n" and harness.proxy.clients.buffered_bytes == 0
 
 
 def test_large_commands_wait_for_memory_and_all_arrive() -> None:
@@ -318,7 +318,7 @@
                 if not left[client]:
                     del left[client]
             waited += client.paused
-        most = max(most, harness.proxy.clients.partial_bytes)
+        most = max(most, harness.proxy.clients.partial_command_bytes)
         for stream in [stream for stream, _ in harness.loop.connect_requests if stream.pending]:
             (stream.transport or FakeTransport(stream)).feed(encode_reply(b"stored"))
         harness.loop.advance(0.01)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -221,7 +221,7 @@
     assert len(harness.loop.connect_requests) == opened + 1
     assert harness.proxy.upstreams.endpoint_names == {"c1", "c2", "c3"}
     harness.push_endpoint_list(endpoint("c1", "DRAINING"))
-    assert harness.proxy.upstreams.states()["c1"] == "draining"
+    assert harness.proxy.upstreams.endpoint_states()["c1"] == "draining"
 
 
 def test_once_more_while_waiting_for_a_time_slot_keeps_the_slot() -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -245,7 +245,9 @@
 
 
 def deliver_answer(member: Membership, ask: MembershipProbe, of: int, incarnation: int, now: float) -> None:
-    member.on_message(now, MembershipProbe(ProbeKind.PROBE_ANSWER, of, incarnation, ask.correlation_id, of, 0, ()))
+    member.on_message(
+        now, MembershipProbe(ProbeKind.PROBE_ANSWER, of, incarnation, ask.correlation_id, of, 0, ())
+    )
 
 
 def test_answer_to_own_probe_counts_once_and_others_are_ignored() -> None:
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -13,14 +13,14 @@
 from helpers import SETTINGS, FakeTransport, ProxyHarness, encode_reply, encode_request, endpoint
 
 from calicofall.proxy import graceful_shutdown, resp
-from calicofall.proxy.management import CALL_TIMEOUT_S, MAX_CALLERS, MAX_LINE_BYTES
+from calicofall.proxy.management import CALL_TIMEOUT_S, MAX_LINE_BYTES, MAX_OPERATOR_CONNECTIONS
 from calicofall.routing.decisions import Wait
 
 PING = resp.encode_command([b"PING"])
 
 
 def call(harness: ProxyHarness, data: bytes) -> bytes:
-    caller = FakeTransport(harness.proxy.management.admit())
+    caller = FakeTransport(harness.proxy.management.add_connection())
     caller.feed(data)
     return caller.sent
 
@@ -51,17 +51,17 @@
 )
 def test_one_line_has_one_answer_and_a_close(data: bytes, said: bytes) -> None:
     harness = ProxyHarness()
-    caller = FakeTransport(harness.proxy.management.admit())
+    caller = FakeTransport(harness.proxy.management.add_connection())
     caller.feed(data)
     assert caller.sent.startswith(said) and caller.sent.count(b"\n") == 1
     harness.loop.advance(0.3)
-    assert not caller.open and not harness.proxy.management.callers
+    assert not caller.open and not harness.proxy.management.connections
     assert (harness.proxy.shutdown.began_at is not None) is (data == b"quiesce\n")
 
 
 def test_a_line_in_pieces_is_read_and_half_a_line_leaves_no_trace() -> None:
     harness = ProxyHarness()
-    caller, half = (FakeTransport(harness.proxy.management.admit()) for _ in range(2))
+    caller, half = (FakeTransport(harness.proxy.management.add_connection()) for _ in range(2))
     for piece in (b"hea", b"l", b"th\r", b"\n"):
         assert not caller.sent
         caller.feed(piece)
@@ -75,11 +75,11 @@
     """They would have kept the descriptors there are, or the address to themselves."""
     harness = ProxyHarness()
     slow = []
-    for _ in range(MAX_CALLERS):
-        assert harness.proxy.management.make_room()
-        slow.append(FakeTransport(harness.proxy.management.admit()))
+    for _ in range(MAX_OPERATOR_CONNECTIONS):
+        assert harness.proxy.management.ensure_capacity()
+        slow.append(FakeTransport(harness.proxy.management.add_connection()))
         slow[-1].feed(b"coun")
-    assert harness.proxy.management.make_room()
+    assert harness.proxy.management.ensure_capacity()
     assert not slow[0].open and all(caller.open for caller in slow[1:])  # the oldest goes for the next
     assert call(harness, b"health\n") == b"+OK serving\n"
     harness.loop.advance(4.5)
@@ -326,7 +326,7 @@
 
 def test_a_caller_that_does_not_read_its_answer_is_cut() -> None:
     harness = ProxyHarness()
-    caller = FakeTransport(harness.proxy.management.admit(), pause_after_bytes=10)
+    caller = FakeTransport(harness.proxy.management.add_connection(), pause_after_bytes=10)
     caller.feed(b"counters\n")
     harness.loop.advance(CALL_TIMEOUT_S + 0.1)
-    assert not caller.open and not harness.proxy.management.callers
+    assert not caller.open and not harness.proxy.management.connections
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -23,7 +23,7 @@
 from calicofall.proxy.client_protocol import parse_request_fields
 from calicofall.proxy.clients import IDLE_BUDGET_DIVISOR
 from calicofall.proxy.connection import ACCEPTS_PER_TURN, MAX_DISCARDED_BYTES, Listener
-from calicofall.proxy.connection_pool import READY_CONNECTIONS
+from calicofall.proxy.connection_pool import MIN_IDLE_CONNECTIONS
 from calicofall.routing.request import Request
 from calicofall.routing.router import Router
 from calicofall.simulator_adapter import host
@@ -118,7 +118,7 @@
 def test_what_still_lay_in_our_buffer_has_not_run() -> None:
     """Bytes held back behind a full socket never left: only those count as proof."""
     harness = ProxyHarness(caches=1)
-    harness.proxy.upstreams.max_per_endpoint = 1  # the second is written behind the first
+    harness.proxy.upstreams.max_connections_per_endpoint = 1  # the second is written behind the first
     client, other = harness.client(), harness.client()
     client.feed(encode_request("order", key=1, value=bytes(50_000)))
     upstream = harness.connect_upstream(pause_after_bytes=100)
@@ -131,7 +131,7 @@
 
 def test_a_late_reply_is_matched_to_nothing() -> None:
     harness = ProxyHarness(caches=1)
-    harness.proxy.upstreams.max_per_endpoint = 1
+    harness.proxy.upstreams.max_connections_per_endpoint = 1
     client, other = harness.client(), harness.client()
     client.feed(encode_request(remaining_ms="100"))
     upstream = harness.connect_upstream()
@@ -145,7 +145,7 @@
 def test_a_connection_whose_answer_is_overdue_takes_nothing_new() -> None:
     """A silent machine's open connections held RPC after RPC; a new one that fails proves them not run."""
     harness = ProxyHarness(caches=1).with_high_limits()
-    harness.proxy.upstreams.max_per_endpoint = 2
+    harness.proxy.upstreams.max_connections_per_endpoint = 2
     clients = [harness.client() for _ in range(5)]
     for client, remaining_ms in zip(clients[:4], ("100", "100", "900", "900"), strict=True):
         client.feed(encode_request(remaining_ms=remaining_ms))
@@ -166,7 +166,7 @@
     """On a connection that others shared the first copy was still out while the second went elsewhere."""
     for shared in (False, True):
         harness = ProxyHarness(caches=2).with_high_limits()
-        harness.proxy.upstreams.max_per_endpoint, policy = 1, harness.proxy.router.policy
+        harness.proxy.upstreams.max_connections_per_endpoint, policy = 1, harness.proxy.router.policy
         policy.timeouts.attempt_timeout_ms = lambda left, *_: 100.0
         client, other = harness.client(), harness.client()
         client.feed(encode_request(remaining_ms="400"))
@@ -183,19 +183,19 @@
 def test_connections_rest_ready_before_they_are_needed() -> None:
     """A busy cache does a handshake behind its other work: first answers took two to four times as long."""
     harness = ProxyHarness(caches=1, connect_ahead=True).with_high_limits()
-    assert len(harness.loop.connect_requests) == READY_CONNECTIONS
-    upstreams = [harness.connect_upstream(number) for number in range(READY_CONNECTIONS)]
+    assert len(harness.loop.connect_requests) == MIN_IDLE_CONNECTIONS
+    upstreams = [harness.connect_upstream(number) for number in range(MIN_IDLE_CONNECTIONS)]
     client, other = harness.client(), harness.client()
     client.feed(encode_request(remaining_ms="100"))
     other.feed(encode_request())
     assert (
         all(upstream.sent for upstream in upstreams)
-        and len(harness.loop.connect_requests) == 2 * READY_CONNECTIONS
+        and len(harness.loop.connect_requests) == 2 * MIN_IDLE_CONNECTIONS
     )
     harness.loop.advance(0.2)
     assert (
-        sum(upstream.open for upstream in upstreams) == READY_CONNECTIONS - 1
-        and harness.proxy.upstreams.connection_count() == 2 * READY_CONNECTIONS - 1
+        sum(upstream.open for upstream in upstreams) == MIN_IDLE_CONNECTIONS - 1
+        and harness.proxy.upstreams.connection_count() == 2 * MIN_IDLE_CONNECTIONS - 1
     )
     for many in (8, 300):
         assert not ProxyHarness(
@@ -224,7 +224,7 @@
 def test_little_is_read_ahead_once_much_is_in_hand() -> None:
     """Many clients that pipeline large values would fill the memory there is."""
     harness = ProxyHarness()
-    harness.proxy.clients.held_bytes = harness.proxy.clients.read_ahead_bytes
+    harness.proxy.clients.buffered_bytes = harness.proxy.clients.read_ahead_bytes
     client = harness.client()
     client.feed(encode_request(key=1) + encode_request(key=1))
     assert len(client.stream.replies) == 1 and client.paused
@@ -380,10 +380,10 @@
     upstream = harness.connect_upstream()
     upstream.feed(encode_reply())
     harness.loop.advance(26.0)
-    harness.proxy.upstreams.retire_idle()
+    harness.proxy.upstreams.close_expired_idle()
     assert upstream.open
     harness.loop.advance(2.0)
-    harness.proxy.upstreams.retire_idle()
+    harness.proxy.upstreams.close_expired_idle()
     assert not upstream.open
 
 
@@ -513,7 +513,7 @@
     assert clients[0].sent.startswith(b"-ERR") and not clients[-1].sent
     for client in clients:
         client.abort()
-    assert harness.proxy.clients.partial_bytes == 0 and harness.proxy.clients.held_bytes == 0
+    assert harness.proxy.clients.partial_command_bytes == 0 and harness.proxy.clients.buffered_bytes == 0
 
 
 def test_wrong_commands_without_end_close_the_connection() -> None:
@@ -545,7 +545,7 @@
     """At its last descriptor asyncio's server said so 512 times, then took nobody for a second."""
     harness, taken, watched = ProxyHarness(), [], []
     door = Listener.__new__(Listener)
-    door.loop, door.has_room, door.make_connection = harness.loop, lambda: True, lambda: None
+    door.loop, door.has_capacity, door.make_connection = harness.loop, lambda: True, lambda: None
     door.has_pending_connection = lambda: True
     door.socket = type("Plug", (), {"fileno": lambda self: 9, "accept": lambda self: (None, None)})()
     harness.loop.add_reader = lambda fileno, call: watched.append(call)
@@ -580,7 +580,7 @@
 def test_nothing_leaves_for_an_rpc_whose_time_is_up() -> None:
     """Its bytes lay behind a full socket, and would have gone to the cache after the final answer."""
     harness = ProxyHarness(caches=1)
-    harness.proxy.upstreams.max_per_endpoint = 1
+    harness.proxy.upstreams.max_connections_per_endpoint = 1
     client, other = harness.client(), harness.client()
     client.feed(encode_request("save", value=bytes(50_000)))
     upstream = harness.connect_upstream(pause_after_bytes=100)
--- a/tests/test_rate_slots.py
+++ b/tests/test_rate_slots.py
@@ -272,7 +272,9 @@
     own = flights.share
     assert own == pytest.approx(16.0)
     parts = limits.leases[one]
-    parts.borrowed_leases[7] = BorrowedLease(1, UNITS // 8, harness.loop.time() + limits.longest_request_s + 0.5)
+    parts.borrowed_leases[7] = BorrowedLease(
+        1, UNITS // 8, harness.loop.time() + limits.longest_request_s + 0.5
+    )
     limits.refresh()
     assert flights.share == pytest.approx(24.0)
     harness.loop.advance(0.6)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -464,7 +464,7 @@
         "c1", pool.order_offset, now, now + harness.proxy.upstreams.common_clock_offset_s
     )
     harness.proxy.connection_quotas.return_slot("c1", slot)
-    connection = pool.open_another(5.0)
+    connection = pool.add_connection(5.0)
     assert connection is not None
     assert connection.opens_at >= now
     harness.loop.calls = [call for call in harness.loop.calls if call.callback != pool.open_when_due]
