--- a/calicofall/routing/router.py
+++ b/calicofall/routing/router.py
@@ -186,14 +186,14 @@
     def _update_next_slot(self, now: float) -> None:
         """Sets, before each decision, when the next request that may need the origin may start."""
         if self.origin_slots is not None:
-            due_s = self.origin_slots.due(self._slot_time_s(now))
+            due_s = self.origin_slots.due_at(self._slot_time_s(now))
             self.policy.set_next_origin_slot(due_s * 1000.0 + self.slot_clock_offset_ms)
 
     def _return_slots(self, now: float, attempt: Attempt) -> None:
         """Returns the rate slots of an attempt that caused no request to the origin."""
         if self.origin_slots is not None:
             for slot in attempt.rate_slots:
-                self.origin_slots.back(self._slot_time_s(now), slot)
+                self.origin_slots.return_slot(self._slot_time_s(now), slot)
 
     def _use_slots(
         self, now: float, request: Request, decision: Decision, origin_slots: OriginFetchSlots
@@ -207,7 +207,7 @@
                 request.attempts[-1].rate_slots = slots
                 self._update_next_slot(now)
         elif self.policy.is_before_origin_slot(now) and now - request.arrived_at < WAIT_TOLERANCE_MS:
-            origin_slots.wishes.add(slot_time_s)
+            origin_slots.demand.add(slot_time_s)
 
     # Input from other components of the proxy
 
@@ -243,9 +243,11 @@
             if alias not in methods:
                 old_settings = self.policy.settings.methods[former_method]
                 new_settings = methods.get(request.name) or old_settings | {
-                    "zones_open": [settings_compatibility.CLOSED]
+                    "zones_open": [settings_compatibility.CLOSED_PLACE]
+                }
+                methods[alias] = settings_compatibility.combine_methods(old_settings, new_settings) | {
+                    "name": alias
                 }
-                methods[alias] = settings_compatibility.between(old_settings, new_settings) | {"name": alias}
                 self.policy.latency.add_alias(former_method, alias)
             request.method = alias
         self.policy.apply_settings(now, deployment, methods)
