--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -1,4 +1,4 @@
-"""Methods that are bound to some zones or kinds of machine."""
+"""Tests of methods that are constrained to some zones or machine kinds."""
 
 from collections import Counter
 
@@ -12,14 +12,17 @@
 METHODS, READ = deployment_settings()["methods"], SETTINGS["methods"][0]
 
 
-def bound(aside: bool = False, zones: list | None = None, kinds: list | None = None) -> dict:
-    """Reads are bound, all else is free."""
+def constrained_settings(
+    cache_aside: bool = False, zones: list | None = None, kinds: list | None = None
+) -> dict:
+    """Returns settings with constrained reads; the other methods are unconstrained."""
     read = METHODS[0] | {"zones_open": zones, "kinds_open": kinds}
-    return deployment_settings(aside, methods=[read, *METHODS[1:]])
+    return deployment_settings(cache_aside, methods=[read, *METHODS[1:]])
 
 
 def entries(state: str = "ready", started: float = 0.0) -> list[tuple]:
-    """Six caches each in zones a, b and c, half of them of kind box. What is said holds in zone a."""
+    """Returns six caches in each of the zones a, b and c, half of them of kind box; the arguments apply to
+    zone a."""
     return [
         (
             f"{zone}{i}",
@@ -35,9 +38,10 @@
     ]
 
 
-def test_method_bound_to_a_zone_goes_nowhere_else_at_any_attempt() -> None:
-    """ljubljana-main, standard day rough-1: placement at 0.03 s, drawing went to a cache of room-b."""
-    policy = RoutingPolicy(bound(zones=["a"]), 1, 0.0)
+def test_method_constrained_to_a_zone_uses_no_other_zone_at_any_attempt() -> None:
+    """Guards against an attempt in another zone (deployment ljubljana-main, day rough-1: 0.03 s after the
+    placement, a random choice took a cache of room-b)."""
+    policy = RoutingPolicy(constrained_settings(zones=["a"]), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, entries())
     for key in range(200):
         request, now = make_request("read", key, key * 50.0, key * 50.0 + 900.0), key * 50.0
@@ -51,34 +55,38 @@
 
 
 @pytest.mark.parametrize(
-    ("zones", "kinds", "wanted"),
+    ("zones", "kinds", "expected_names"),
     [(["a"], ["box"], {"a0", "a2", "a4"}), (None, ["tub"], {f"{z}{i}" for z in "abc" for i in (1, 3, 5)})],
 )
-def test_ranking_of_a_bound_method_is_that_among_its_endpoints(zones: list, kinds: list, wanted: set) -> None:
-    policy, free = (
-        RoutingPolicy(bound(zones=zones, kinds=kinds), 1, 0.0),
+def test_ranking_of_a_constrained_method_is_that_among_its_endpoints(
+    zones: list, kinds: list, expected_names: set
+) -> None:
+    policy, unconstrained_policy = (
+        RoutingPolicy(constrained_settings(zones=zones, kinds=kinds), 1, 0.0),
         RoutingPolicy(deployment_settings(), 1, 0.0),
     )
     policy.on_endpoint_list(0.0, "full", 1, entries())
-    free.on_endpoint_list(0.0, "full", 1, [entry for entry in entries() if entry[0] in wanted])
-    place = policy.placement.constraints["read"]
+    unconstrained_policy.on_endpoint_list(
+        0.0, "full", 1, [entry for entry in entries() if entry[0] in expected_names]
+    )
+    constraint = policy.placement.constraints["read"]
     for key in range(300):
-        names = [cache.name for cache in policy.placement.ranking(key, place)]
-        assert names == [cache.name for cache in free.placement.ranking(key)]
-    shares = Counter(policy.placement.ranking(key, place)[0].name for key in range(3000))
-    assert set(shares) == wanted
-    assert min(shares.values()) > 0.8 * 3000 / len(wanted)
+        names = [cache.name for cache in policy.placement.ranking(key, constraint)]
+        assert names == [cache.name for cache in unconstrained_policy.placement.ranking(key)]
+    owner_counts = Counter(policy.placement.ranking(key, constraint)[0].name for key in range(3000))
+    assert set(owner_counts) == expected_names
+    assert min(owner_counts.values()) > 0.8 * 3000 / len(expected_names)
 
 
 @pytest.mark.parametrize(("state", "started"), [("draining", 0.0), ("gone", 0.0), ("ready", 49_990.0)])
-@pytest.mark.parametrize("aside", [False, True])
+@pytest.mark.parametrize("cache_aside", [False, True])
 def test_method_without_a_usable_endpoint_waits_or_is_rejected(
-    state: str, started: float, aside: bool
+    state: str, started: float, cache_aside: bool
 ) -> None:
-    """Also while all of them drain, have gone, or are cold: the origin alone is open besides."""
-    policy = RoutingPolicy(bound(aside, zones=["a"]), 1, 0.0)
+    """Covers endpoints that all drain, are gone or are cold; only the origin may be used in addition."""
+    policy = RoutingPolicy(constrained_settings(cache_aside, zones=["a"]), 1, 0.0)
     policy.on_endpoint_list(
-        0.0, "full", 1, [*entries(), *([("o", "z", "origin", 0, "ready", None, 0.0)] * aside)]
+        0.0, "full", 1, [*entries(), *([("o", "z", "origin", 0, "ready", None, 0.0)] * cache_aside)]
     )
     policy.on_endpoint_list(
         50_000.0, "delta", 2, [entry for entry in entries(state, started) if entry[1] == "a"]
@@ -90,20 +98,21 @@
         decision = route_request(policy, now, request)
         assert type(decision) in (Forward, Wait, Reject)
         sent.update(decision.endpoint[0] for _ in [0] if isinstance(decision, Forward))
-    assert set(sent) <= ({"a"} if state == "ready" else set()) | ({"o"} if aside else set())
+    assert set(sent) <= ({"a"} if state == "ready" else set()) | ({"o"} if cache_aside else set())
 
 
-def test_ranking_of_a_bound_method_follows_the_list() -> None:
-    policy = RoutingPolicy(bound(zones=["a"]), 1, 0.0)
+def test_ranking_of_a_constrained_method_follows_the_list() -> None:
+    policy = RoutingPolicy(constrained_settings(zones=["a"]), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, entries())
-    policy.on_endpoint_list(10.0, "delta", 2, [("a0", "b", "box", 0, "ready", None, 0.0)])  # moved
+    # The endpoint a0 moves to another zone.
+    policy.on_endpoint_list(10.0, "delta", 2, [("a0", "b", "box", 0, "ready", None, 0.0)])
     policy.on_endpoint_list(20.0, "delta", 3, [("a9", "a", "box", 0, "ready", None, 0.0)])
-    opened = {
+    names = {
         cache.name
         for key in range(300)
         for cache in policy.placement.ranking(key, policy.placement.constraints["read"])
     }
-    assert opened == {"a1", "a2", "a3", "a4", "a5", "a9"}
+    assert names == {"a1", "a2", "a3", "a4", "a5", "a9"}
 
 
 @pytest.mark.parametrize(
@@ -118,13 +127,13 @@
         ({"rules": SETTINGS["rules"] | {"removalNotBinding": 1}}, "settings.rules.removalNotBinding"),
     ],
 )
-def test_validate_settings_with_a_wrong_place_names_the_field(change: dict, field: str) -> None:
-    with pytest.raises(ValueError) as told:
+def test_validate_settings_with_a_wrong_constraint_names_the_field(change: dict, field: str) -> None:
+    with pytest.raises(ValueError) as raised:
         validate_settings(SETTINGS | {"failureDomains": ["a", "b"]} | change)
-    assert str(told.value).startswith(field + " is ")
+    assert str(raised.value).startswith(field + " is ")
 
 
-def test_normalize_settings_with_and_without_places_returns_them() -> None:
+def test_normalize_settings_with_and_without_constraints_returns_them() -> None:
     methods = [READ | {"kindsOpen": ["box"], "failureDomainsOnly": ["a"]}]
     settings = SETTINGS | {"failureDomains": ["a"], "methods": methods, "blend": {"slowEnd": 0.4}}
     validate_settings(settings)
--- a/tests/test_routing_components.py
+++ b/tests/test_routing_components.py
@@ -1,4 +1,4 @@
-"""The components of the routing policy, each alone."""
+"""Tests of the components of the routing policy, each alone."""
 
 from math import inf
 from random import Random
@@ -33,12 +33,12 @@
 
 
 def entry(name: str, state: str = "ready", started: float = 0.0, zone: str = "a") -> tuple[Any, ...]:
-    """An entry of the list of endpoints."""
+    """Returns an entry of the endpoint list."""
     return name, zone, "box", 0, state, None, started
 
 
 def table_of(**rules: Any) -> EndpointTable:
-    """An empty endpoint table."""
+    """Returns an empty endpoint table."""
     deployment = deployment_settings()
     deployment["rules"] |= rules
     return EndpointTable(RoutingSettings(deployment), Deployment(deployment))
@@ -186,7 +186,7 @@
     assert counts.count(7) == 1
 
 
-def test_fetch_likelihood_is_measured_apart_for_warming_up_endpoints() -> None:
+def test_fetch_likelihood_is_measured_separately_for_warming_up_endpoints() -> None:
     likelihood = FetchLikelihood()
     for number in range(20):
         likelihood.add(100.0, False, number % 4 == 0)
@@ -214,7 +214,7 @@
     assert baselines.measured() == {"read": 40.0}
 
 
-def test_latency_baselines_apply_methods_forgets_those_that_are_gone() -> None:
+def test_latency_baselines_apply_methods_drops_removed_methods() -> None:
     baselines = LatencyBaselines(["read", "save"], 500.0)
     baselines.add_alias("read", "read-1")
 
@@ -224,7 +224,7 @@
     assert set(baselines.baselines) == {"read-1", "order", None}
 
 
-def test_zone_latency_counts_from_the_nearest_zone_once_enough_is_known() -> None:
+def test_zone_latency_is_relative_to_the_nearest_zone_after_enough_answers() -> None:
     zones, far = ZoneLatency(), Endpoint("c1")
     far.zone = "b"
     for _ in range(15):
@@ -254,7 +254,7 @@
     assert [one.name for one in table.ready_caches()] == ["c3"]
 
 
-def test_endpoint_table_partial_list_with_a_new_start_forgets_what_was_held_against_the_old_process() -> None:
+def test_endpoint_table_partial_list_with_a_new_start_ends_the_degradation_of_the_old_process() -> None:
     table = table_of(start_error=500.0)
     table.apply_list(0.0, False, [entry("c1")])
     table.caches["c1"].degrade(0.0, 1 / 8, 1 / 4)
@@ -265,7 +265,7 @@
     assert table.caches["c1"].started_at == 5000.0
 
 
-def test_placement_rank_moves_only_keys_of_the_endpoint_that_is_gone() -> None:
+def test_placement_rank_moves_only_keys_of_the_removed_endpoint() -> None:
     endpoints = [Endpoint(f"c{number}") for number in range(6)]
     placement = Placement({})
     placement.refresh(0.0, endpoints, {one.name: 1.0 for one in endpoints})
@@ -277,12 +277,12 @@
     assert moved == {key for key, owner in before.items() if owner == "c5"}
 
 
-def test_endpoint_trickle_doubles_with_time_up_to_all() -> None:
+def test_endpoint_current_fraction_doubles_with_time_up_to_one() -> None:
     endpoint = Endpoint("c1")
     endpoint.degrade(1000.0, 1 / 4, 1 / 4)
 
     assert endpoint.ejected
-    assert [endpoint.current_fraction(1000.0 + after) for after in (0.0, 5000.0, 10_000.0)] == [
+    assert [endpoint.current_fraction(1000.0 + age_ms) for age_ms in (0.0, 5000.0, 10_000.0)] == [
         0.25,
         0.5,
         1.0,
@@ -305,9 +305,9 @@
 def test_is_repeat_safe_by_retry_safety_and_first_attempt(
     method: MethodSettings, first_sent_at: float | None, safe: bool
 ) -> None:
-    first = None if first_sent_at is None else Attempt("c1", first_sent_at)
+    first_attempt = None if first_sent_at is None else Attempt("c1", first_sent_at)
 
-    assert is_repeat_safe(1000.0, method, first) is safe
+    assert is_repeat_safe(1000.0, method, first_attempt) is safe
 
 
 @pytest.mark.parametrize(
@@ -319,7 +319,7 @@
         pytest.param(ORDER, AttemptOutcome.FULL, Reject, id="not idempotent, never ran"),
     ],
 )
-def test_give_up_rejects_only_where_a_repeat_is_harmless(
+def test_give_up_rejects_only_requests_that_are_safe_to_repeat(
     method: MethodSettings, outcome: AttemptOutcome, decision: type[Reject | Fail]
 ) -> None:
     settings = RoutingSettings(deployment_settings())
@@ -327,11 +327,11 @@
     request = make_request("read")
     request.attempts.append(Attempt("c1", 0.0, outcome=outcome))
 
-    given_up = retries.give_up(request, method, Random(2))
+    result = retries.give_up(request, method, Random(2))
 
-    assert type(given_up) is decision
-    if isinstance(given_up, Reject):
-        assert 0.3 * 2000.0 <= given_up.retry_after_ms <= 0.6 * 2000.0
+    assert type(result) is decision
+    if isinstance(result, Reject):
+        assert 0.3 * 2000.0 <= result.retry_after_ms <= 0.6 * 2000.0
 
 
 def test_retry_safety_values_are_those_of_the_settings() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""A slow, plain model of the four rules watches the module on generated days."""
+"""Compares decisions of the routing policy in random scenarios with a simple model of the four rules."""
 
 from random import Random
 
@@ -17,95 +17,99 @@
 NEVER_RAN = {"full", "unconnected", "moot", "missed"}
 
 
-class Watch:
-    """The rules in their plainest form, from every send, outcome and list this proxy had."""
+class RuleModel:
+    """A simple model of the rules, which sees each attempt, outcome and list of a proxy."""
 
     def __init__(self, deployment: dict) -> None:
         self.methods = {m["name"]: m for m in deployment["methods"]}
-        self.rules, self.most = deployment["rules"], deployment["caps"]["most_transmissions"]
-        self.aside = deployment["data"]["mode"] == "aside"
-        self.told: dict[str, float] = {}
-        self.named: set[str] = set()
+        self.rules, self.max_attempts = deployment["rules"], deployment["caps"]["most_transmissions"]
+        self.cache_aside = deployment["data"]["mode"] == "aside"
+        self.drained_at: dict[str, float] = {}
+        self.listed_names: set[str] = set()
         self.cells: dict[str, int] = {}
-        self.where: dict[str, tuple] = {}  # zone and kind, as last told
+        self.zone_and_kind: dict[str, tuple] = {}  # zone and kind, as last listed
         self.history: dict[str, list[list]] = {}
         self.answered: set[str] = set()
-        self.taken: list[float] = []
-        self.again: list[list] = []  # attempts beyond the first: when, request, its number
-        self.grants: dict[str, int] = {}  # by misses, beside the retry budget
-
-    def affords(self, now: float, request: Request) -> bool:
-        """The retry budget, the one that asks now counted."""
-        span = self.rules.get("retry_span")
-        if span is None or not self.history.get(request.id) or self.grants.get(request.id, 0) > 0:
+        self.request_times: list[float] = []
+        self.further_attempts: list[list] = []  # time, request id, index of the attempt
+        # By request id: attempts after misses, which the retry budget does not limit.
+        self.miss_retries: dict[str, int] = {}
+
+    def within_budget(self, now: float, request: Request) -> bool:
+        """Returns whether the retry budget permits another attempt of a request, this attempt included."""
+        span_ms = self.rules.get("retry_span")
+        if span_ms is None or not self.history.get(request.id) or self.miss_retries.get(request.id, 0) > 0:
             return True
         spent = sum(
-            at >= now - span and self.history[one][number][2] != "moot" for at, one, number in self.again
+            at_ms >= now - span_ms and self.history[request_id][number][2] != "moot"
+            for at_ms, request_id, number in self.further_attempts
         )
-        taken = sum(at > now - span for at in self.taken)
-        return spent + 1 <= self.rules["retry_spare"] + self.rules["retry_ratio"] * taken
-
-    def sent(self, now: float, request: Request, cache: str) -> None:
-        past = self.history[request.id]
-        if past and self.grants.get(request.id, 0) > 0:
-            self.grants[request.id] -= 1
-        elif past:
-            self.again.append((now, request.id, len(past)))
-        past.append([now, cache, None])
-
-    def listed(self, now: float, entries: list[tuple]) -> None:
+        accepted = sum(at_ms > now - span_ms for at_ms in self.request_times)
+        return spent + 1 <= self.rules["retry_spare"] + self.rules["retry_ratio"] * accepted
+
+    def on_attempt(self, now: float, request: Request, cache: str) -> None:
+        attempts = self.history[request.id]
+        if attempts and self.miss_retries.get(request.id, 0) > 0:
+            self.miss_retries[request.id] -= 1
+        elif attempts:
+            self.further_attempts.append((now, request.id, len(attempts)))
+        attempts.append([now, cache, None])
+
+    def on_list(self, now: float, entries: list[tuple]) -> None:
         for cache, zone, kind, cell, state, _, _ in entries:
-            self.named.add(cache)
-            self.cells[cache], self.where[cache] = cell, (zone, kind)
+            self.listed_names.add(cache)
+            self.cells[cache], self.zone_and_kind[cache] = cell, (zone, kind)
             if state == "ready":
-                self.told.pop(cache, None)
+                self.drained_at.pop(cache, None)
             elif state == "draining" or not self.rules.get("draining_alone"):
-                self.told.setdefault(cache, now)
+                self.drained_at.setdefault(cache, now)
 
-    def open_to(self, method: dict, cache: str) -> bool:
-        zone, kind = self.where[cache]
+    def satisfies_constraint(self, method: dict, cache: str) -> bool:
+        zone, kind = self.zone_and_kind[cache]
         return kind == "origin" or (
             zone in (method.get("zones_open") or [zone]) and kind in (method.get("kinds_open") or [kind])
         )
 
     def may_send(self, now: float, request: Request, cache: str) -> bool:
-        past = self.history.setdefault(request.id, [])
-        ran = [(at, where) for at, where, outcome in past if outcome not in NEVER_RAN]
+        attempts = self.history.setdefault(request.id, [])
+        possibly_run = [
+            (at_ms, endpoint) for at_ms, endpoint, outcome in attempts if outcome not in NEVER_RAN
+        ]
         method = self.methods[request.method]
-        out = any(outcome is None for _, _, outcome in past)
-        again = (
-            not ran
+        has_attempt_in_flight = any(outcome is None for _, _, outcome in attempts)
+        is_safe = (
+            not possibly_run
             or method["repeats"] == "retriable"
             or (
                 method["repeats"] == "deduped"
-                and now <= ran[0][0] + method["window"]
-                and (method["group"] == "all" or self.cells[ran[0][1]] == self.cells[cache])
+                and now <= possibly_run[0][0] + method["window"]
+                and (method["group"] == "all" or self.cells[possibly_run[0][1]] == self.cells[cache])
             )
         )
-        drained = cache in self.told and now > self.told[cache] + self.rules["drain_grace"]
-        right = not self.aside or not request.write or cache == "o"
-        right = right and self.open_to(method, cache)
-        right = right and self.affords(now, request)
+        drained = cache in self.drained_at and now > self.drained_at[cache] + self.rules["drain_grace"]
+        is_permitted = not self.cache_aside or not request.write or cache == "o"
+        is_permitted = is_permitted and self.satisfies_constraint(method, cache)
+        is_permitted = is_permitted and self.within_budget(now, request)
         return (
-            again
-            and right
-            and not out
+            is_safe
+            and is_permitted
+            and not has_attempt_in_flight
             and not drained
-            and cache in self.named
-            and len(past) < self.most
+            and cache in self.listed_names
+            and len(attempts) < self.max_attempts
             and request.id not in self.answered
             and now < request.expires_at
         )
 
     def may_exhaust(self, request: Request) -> bool:
         method = self.methods[request.method]
-        harmless = method["repeats"] == "deduped" and method["group"] == "all"
+        is_deduplicated = method["repeats"] == "deduped" and method["group"] == "all"
         never_ran = all(outcome in NEVER_RAN for _, _, outcome in self.history.get(request.id, []))
-        return method["repeats"] == "retriable" or harmless or never_ran
+        return method["repeats"] == "retriable" or is_deduplicated or never_ran
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_decisions_on_generated_days_keep_the_rules(seed: int) -> None:
+def test_decisions_in_random_scenarios_keep_the_rules(seed: int) -> None:
     random_generator = Random(seed)
     deployment = deployment_settings(cache_aside=seed % 2 == 0, proxies=random_generator.choice([1, 3]))
     deployment["methods"][1]["group"] = random_generator.choice(["all", "cell"])
@@ -113,7 +117,7 @@
     deployment["discovery"] = random_generator.choice(["push", "ask"])
     deployment["caps"]["peer_messages"] = seed % 4 < 2
     deployment["rules"]["draining_alone"] = seed % 5 == 0
-    if seed % 3:  # a retry budget, small enough to bind
+    if seed % 3:  # a retry budget small enough to have an effect
         deployment["rules"] |= {
             "retry_span": random_generator.choice([500.0, 1000.0, 5000.0]),
             "retry_spare": random_generator.choice([0, 1, 5]),
@@ -124,38 +128,40 @@
     for method in deployment["methods"]:
         method["zones_open"] = random_generator.choice([None, ["y"]])
         method["kinds_open"] = random_generator.choice([None, ["box"]])
-    policy, watch = RoutingPolicy(deployment, seed, 0.0), Watch(deployment)
-    names, hand, pending, due, version, now = [f"c{i}" for i in range(6)], {}, [], [], 0, 0.0
+    policy, model = RoutingPolicy(deployment, seed, 0.0), RuleModel(deployment)
+    names, requests, in_flight, waiting, version, now = [f"c{i}" for i in range(6)], {}, [], [], 0, 0.0
 
-    def entries(some: list[str]) -> list[tuple]:
-        out = [
+    def entries(chosen: list[str]) -> list[tuple]:
+        listed_caches = [
             (
-                n,
-                "yz"[int(n[1:]) % 2],
-                "box" if int(n[1:]) % 3 else "tub",
-                int(n[1:]) % 2,
+                name,
+                "yz"[int(name[1:]) % 2],
+                "box" if int(name[1:]) % 3 else "tub",
+                int(name[1:]) % 2,
                 random_generator.choice(["ready"] * 4 + ["draining", "gone"]),
                 random_generator.choice([None, 2.0]),
                 random_generator.choice([0.0, now]),
             )
-            for n in some
+            for name in chosen
         ]
-        return out + ([("o", "z", "origin", 9, "ready", None, 0.0)] if watch.aside else [])
+        return listed_caches + ([("o", "z", "origin", 9, "ready", None, 0.0)] if model.cache_aside else [])
 
     def act(request: Request, decision: Decision | None) -> None:
         if decision is None:
             return
-        assert request.id not in watch.answered
+        assert request.id not in model.answered
         if isinstance(decision, Forward):
-            assert watch.may_send(now, request, decision.endpoint)
-            watch.sent(now, request, decision.endpoint)
-            pending.append((now + random_generator.expovariate(1 / 150), request, len(request.attempts) - 1))
+            assert model.may_send(now, request, decision.endpoint)
+            model.on_attempt(now, request, decision.endpoint)
+            in_flight.append(
+                (now + random_generator.expovariate(1 / 150), request, len(request.attempts) - 1)
+            )
         elif isinstance(decision, Wait):
             assert now + decision.delay_ms < request.expires_at
-            due.append((now + decision.delay_ms, request))
+            waiting.append((now + decision.delay_ms, request))
         else:
-            assert isinstance(decision, Fail) or watch.may_exhaust(request)
-            watch.answered.add(request.id)
+            assert isinstance(decision, Fail) or model.may_exhaust(request)
+            model.answered.add(request.id)
             request.finished = True
 
     while now < 20_000.0:
@@ -163,23 +169,31 @@
         if random_generator.random() < 0.01 or now == 5.0:
             version += 1
             kind = "cached" if now == 5.0 else random_generator.choice(["delta", "full", "failed"])
-            news = (
+            listed = (
                 []
                 if kind == "failed"
                 else entries(random_generator.sample(names, 2) if kind == "delta" else names)
             )
             if kind == "full":
-                watch.listed(now, [(n, *watch.where[n], 0, "gone", None, 0.0) for n in watch.named - {"o"}])
-            watch.listed(now, news)
-            policy.on_endpoint_list(now, kind, version, news)
-        for at, request, number in [p for p in pending if p[0] <= now or p[1].expires_at <= now]:
-            pending.remove((at, request, number))
+                model.on_list(
+                    now,
+                    [
+                        (name, *model.zone_and_kind[name], 0, "gone", None, 0.0)
+                        for name in model.listed_names - {"o"}
+                    ],
+                )
+            model.on_list(now, listed)
+            policy.on_endpoint_list(now, kind, version, listed)
+        for due_at, request, number in [
+            attempt for attempt in in_flight if attempt[0] <= now or attempt[1].expires_at <= now
+        ]:
+            in_flight.remove((due_at, request, number))
             outcome = "timeout" if request.expires_at <= now else random_generator.choice(OUTCOMES)
-            watch.history[request.id][number][2] = request.attempts[number].outcome = outcome
-            watch.grants[request.id] = watch.grants.get(request.id, 0) + (outcome == "missed")
+            model.history[request.id][number][2] = request.attempts[number].outcome = outcome
+            model.miss_retries[request.id] = model.miss_retries.get(request.id, 0) + (outcome == "missed")
             if outcome == "completed" and not request.finished:
                 request.finished = True
-                watch.answered.add(request.id)
+                model.answered.add(request.id)
             act(
                 request,
                 policy.on_attempt_result(
@@ -200,25 +214,29 @@
                     ),
                 ),
             )
-        for at, request in [d for d in due if d[0] <= now]:
-            due.remove((at, request))
+        for due_at, request in [wait for wait in waiting if wait[0] <= now]:
+            waiting.remove((due_at, request))
             if not request.finished:
                 act(request, policy.decide(now, request))
-        if random_generator.random() < 0.1:  # from peers there or gone; true, old, doubled, mangled
-            marks = [
+        if random_generator.random() < 0.1:  # hints of known and unknown peers: valid, duplicated or damaged
+            waits = [
                 (hash_point(name.encode()) & 0xFFFFFF, random_generator.uniform(0.0, 2000.0))
                 for name in [*names, "x9"]
             ]
-            memo = encode_hint(random_generator.randrange(100_000), marks)
+            message = encode_hint(random_generator.randrange(100_000), waits)
             if random_generator.random() < 0.3:
-                memo = random_generator.choice(
-                    [memo[:-1], memo + b"x", random_generator.randbytes(len(memo)), b""]
+                message = random_generator.choice(
+                    [message[:-1], message + b"x", random_generator.randbytes(len(message)), b""]
                 )
             for _ in range(random_generator.choice([1, 1, 2])):
-                policy.on_gossip(now, random_generator.randrange(9), memo)
-        for request in [r for r in hand.values() if not r.finished and random_generator.random() < 0.0005]:
-            request.finished = True  # the client leaves; its outcomes still come
-            watch.answered.add(request.id)
+                policy.on_gossip(now, random_generator.randrange(9), message)
+        for request in [
+            candidate
+            for candidate in requests.values()
+            if not candidate.finished and random_generator.random() < 0.0005
+        ]:
+            request.finished = True  # the client disconnects; outcomes of its attempts still arrive
+            model.answered.add(request.id)
             policy.on_client_disconnected(now, request)
         if random_generator.random() < 0.3:
             method, key = (
@@ -226,8 +244,8 @@
                 random_generator.choice([None, 1, 2, 3]),
             )
             request = make_request(method, key, now, now + random_generator.uniform(20.0, 1500.0))
-            hand[request.id] = request
-            watch.taken.append(now)
+            requests[request.id] = request
+            model.request_times.append(now)
             act(request, policy.decide(now, request))
         for action in policy.next_wakeup(now)[1]:
             assert isinstance(action, LogLine | PollEndpointList | CloseConnections | SendGossip)
@@ -235,6 +253,10 @@
                 assert deployment["caps"]["peer_messages"]
                 assert 0 < action.peer < deployment["proxies"]
                 assert len(action.message) <= 256
-    overdue = [r for r in hand.values() if r.id not in watch.answered and r.expires_at + 20.0 < now]
+    overdue = [
+        candidate
+        for candidate in requests.values()
+        if candidate.id not in model.answered and candidate.expires_at + 20.0 < now
+    ]
     assert not overdue
-    assert len(watch.answered) > 500
+    assert len(model.answered) > 500
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -1,4 +1,5 @@
-"""What two further deployments brought: slow ways, jams of an origin asked directly, lists that err."""
+"""Failures found in two more deployments: slow paths to zones, overloads of a directly used origin, wrong
+lists."""
 
 import pytest
 from helpers import deployment_settings, make_request, route_request
@@ -12,84 +13,87 @@
 
 
 def entries(count: int = 9, state: str = "ready") -> list[tuple]:
-    """Caches spread over zones a, b and c; the origin is in b."""
+    """Returns list entries of caches in zones a, b and c, and of an origin in zone b."""
     return [(f"c{i}", "abc"[i % 3], "box", 0, state, None, 0.0) for i in range(count)] + [ORIGIN]
 
 
-def aside(zone: str = "a", **changes: object) -> RoutingPolicy:
+def look_aside_policy(zone: str = "a", **changes: object) -> RoutingPolicy:
     policy = RoutingPolicy(deployment_settings(cache_aside=True, zone=zone, **changes), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, entries())
     return policy
 
 
-def answered(policy: RoutingPolicy, now: float, name: str, took: float, outcome: str = "completed") -> None:
-    request = make_request("read", int(now), now - took, now + 500.0)
-    request.attempts.append(Attempt(name, now - took, outcome=outcome))
+def report_result(
+    policy: RoutingPolicy, now: float, name: str, latency_ms: float, outcome: str = "completed"
+) -> None:
+    request = make_request("read", int(now), now - latency_ms, now + 500.0)
+    request.attempts.append(Attempt(name, now - latency_ms, outcome=outcome))
     policy.endpoints.caches[name].in_flight += 1
-    policy.fleet_limit.add_in_flight(now - took, 1.0)
+    policy.fleet_limit.add_in_flight(now - latency_ms, 1.0)
     request.finished = True
-    policy.on_attempt_result(now, request, 0, took, "hit", None)
+    policy.on_attempt_result(now, request, 0, latency_ms, "hit", None)
 
 
-def slow_way(policy: RoutingPolicy) -> None:
-    """Zone b answers 200 ms later than the others, all its caches alike."""
+def slow_down_zone_b(policy: RoutingPolicy) -> None:
+    """Lets all caches of zone b answer 200 ms later than the others after 3 s."""
     for now in range(0, 6000, 5):
         name = f"c{now // 5 % 9}"
-        answered(
+        report_result(
             policy, now, name, 220.0 if policy.endpoints.caches[name].zone == "b" and now > 3000 else 20.0
         )
         policy.next_wakeup(now)
 
 
-def test_slow_way_to_a_zone_ejects_no_endpoint_and_sends_less_there() -> None:
-    """Each cache behind it was ejected by itself, for as long as the way was slow and then some."""
-    policy = aside()
-    slow_way(policy)
-    behind = [cache for cache in policy.endpoints.caches.values() if cache.zone == "b"]
-    assert all(policy.zone_latency.extra_ms(cache) > 150.0 and not cache.ejected for cache in behind)
+def test_slow_path_to_a_zone_ejects_no_endpoint_and_reduces_its_requests() -> None:
+    """Guards against the ejection of each cache behind a slow network path, which lasted longer than the
+    slowness."""
+    policy = look_aside_policy()
+    slow_down_zone_b(policy)
+    zone_b_caches = [cache for cache in policy.endpoints.caches.values() if cache.zone == "b"]
+    assert all(policy.zone_latency.extra_ms(cache) > 150.0 and not cache.ejected for cache in zone_b_caches)
     decisions = [
         route_request(policy, 6000.0, make_request("read", key, 6000.0, 7000.0)) for key in range(4000, 4400)
     ]
-    sends = [one.endpoint for one in decisions if isinstance(one, Forward)]
+    endpoints = [decision.endpoint for decision in decisions if isinstance(decision, Forward)]
     policy.fleet_limit.in_flight = 0.0
-    owners = sum(policy.placement.ranking(key)[0].zone == "b" for key in range(4000, 4400))
-    assert 0 < sum(name in ("c1", "c4", "c7") for name in sends) < owners / 2
-    answered(policy, 6001.0, "c1", 20.0)
-    assert (
-        policy.zone_latency.extra_ms(policy.endpoints.caches["c1"]) == 0.0
-    )  # one soon answer shows the way to be fine again
+    owned_count = sum(policy.placement.ranking(key)[0].zone == "b" for key in range(4000, 4400))
+    assert 0 < sum(name in ("c1", "c4", "c7") for name in endpoints) < owned_count / 2
+    report_result(policy, 6001.0, "c1", 20.0)
+    # One fast answer shows that the path is no longer slow.
+    assert policy.zone_latency.extra_ms(policy.endpoints.caches["c1"]) == 0.0
 
 
 def test_one_slow_endpoint_does_not_slow_its_zone() -> None:
-    policy = aside()
+    policy = look_aside_policy()
     for now in range(0, 6000, 5):
-        answered(policy, now, f"c{now // 5 % 9}", 220.0 if now // 5 % 9 == 4 else 20.0)
+        report_result(policy, now, f"c{now // 5 % 9}", 220.0 if now // 5 % 9 == 4 else 20.0)
         policy.next_wakeup(now)
     assert policy.zone_latency.extra_ms(policy.endpoints.caches["c4"]) < 50.0
     assert policy.endpoints.caches["c4"].admitted_fraction < 1.0
 
 
-def test_slow_way_to_the_origin_does_not_shrink_its_limit() -> None:
-    """tan-son-nhat big-1: its limit fell to the floor and turned a third away while the origin idled."""
-    policy = aside()
+def test_slow_path_to_the_origin_does_not_shrink_its_limit() -> None:
+    """Guards against a limit of an idle origin that fell to its floor and rejected a third of the requests
+    (deployment tan-son-nhat, big-1)."""
+    policy = look_aside_policy()
     for now in range(0, 4000, 20):
         policy.origin_protection.on_direct_result(now, make_request("read", now), "completed", 20.0)
-    slow_way(policy)
-    before = policy.origin_limit.value
+    slow_down_zone_b(policy)
+    limit_before = policy.origin_limit.value
     for now in range(6000, 9000, 20):
         policy.origin_protection.on_direct_result(now, make_request("read", now), "completed", 220.0)
         policy.next_wakeup(now)
-    assert policy.origin_limit.value >= before
+    assert policy.origin_limit.value >= limit_before
     policy.origin_limit.in_flight, request = 0.0, make_request("read", 5, 9000.0, 9900.0)
     policy._forward(9000.0, request, policy.endpoints.direct_origin, 1.0)
-    assert (
-        policy.origin_limit.in_flight < 0.3
-    )  # most of that time it is on the way, and no load of the origin
+    # The request travels for most of that time and is then no load on the origin.
+    assert policy.origin_limit.in_flight < 0.3
 
 
 def test_late_fetches_lower_the_floor_of_the_origin_limit() -> None:
-    """Floors of many proxies added up to a jam that served nobody: fetches took 150 ms of 150 all day."""
-    policy = aside(proxies=3)
+    """Guards against floors whose sum over many proxies is an overload: all fetches took 150 ms, with an
+    objective of 150 ms."""
+    policy = look_aside_policy(proxies=3)
     floor = policy.origin_limit.floor
     for now in range(0, 10_000, 20):
         policy.origin_limit.relative_latencies.add(now, 5.0)
@@ -102,7 +106,8 @@
 
 
 def test_fetch_past_the_objective_rejects_the_client_and_goes_on() -> None:
-    """Called off, fetches were not stored and missed again: the jam at a day's start never ended."""
+    """Guards against cancelled fetches, which are not stored and miss again: an overload at the start never
+    ended."""
     router = Router(deployment_settings(cache_aside=True), 1, 0.0)
     router.on_endpoint_list(0.0, "full", 1, entries())
     request = make_request("read", 7, 0.0, 1500.0)
@@ -121,43 +126,45 @@
     assert (7, cache) in router.policy.cached_keys.holders[0]
 
 
-@pytest.mark.parametrize(("method", "late"), [("read", 0.5), ("order", 0.0)])
-def test_timeout_of_a_method_with_late_value_is_the_deadline(method: str, late: float) -> None:
+@pytest.mark.parametrize(("method", "late_value"), [("read", 0.5), ("order", 0.0)])
+def test_timeout_of_a_method_with_late_value_is_the_deadline(method: str, late_value: float) -> None:
     deployment = deployment_settings(cache_aside=True)
-    for one in deployment["methods"]:
-        one["late_gain"] = late
+    for method_settings in deployment["methods"]:
+        method_settings["late_gain"] = late_value
     policy = RoutingPolicy(deployment, 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, entries())
     assert route_request(policy, 0.0, make_request(method, 7, 0.0, 1500.0)).timeout_ms == 1500.0
 
 
 def test_retry_after_an_origin_overload_goes_only_where_the_key_is_cached() -> None:
-    """ljubljana-main overload: each went to a neighbour that had to fetch it, 2.3 sends a request."""
-    policy = aside()
+    """Guards against retries at endpoints that have to fetch the key: 2.3 attempts per request (deployment
+    ljubljana-main, overload)."""
+    policy = look_aside_policy()
     policy.traffic.low, policy.origin_limit.decreased_at = False, 900.0
     first, second, third = policy.placement.ranking(7)
-    for holder, wanted in ((None, Reject), (third, Forward)):
+    for holder, expected_type in ((None, Reject), (third, Forward)):
         if holder is not None:
             policy.cached_keys.holders[0].add((7, holder.name))
         request = make_request("read", 7, 1000.0, 2000.0)
-        policy.origin_limit.in_flight = 1000.0  # no room to spare
+        policy.origin_limit.in_flight = 1000.0  # no spare capacity
         assert route_request(policy, 1000.0, request).endpoint == first.name
         request.attempts[0].outcome = "full"
         decision = policy.on_attempt_result(1001.0, request, 0, 1.0, None, None)
-        assert type(decision) is wanted
+        assert type(decision) is expected_type
         assert holder is None or decision.endpoint == third.name
     assert second not in (first, third)
 
 
-def test_popular_key_with_a_dear_crossing_is_served_in_its_own_zone() -> None:
-    """tan-son-nhat quiet: nothing failed, and two thirds of all sends paid for crossing."""
-    for price, wanted in ((0.1, True), (0.01, False)):
-        policy = aside(costs={"cross_zone": price})
+def test_hot_key_with_expensive_zone_crossings_is_served_in_the_own_zone() -> None:
+    """Guards against zone crossings in two thirds of all attempts without any failure (deployment
+    tan-son-nhat, quiet)."""
+    for crossing_cost, is_local in ((0.1, True), (0.01, False)):
+        policy = look_aside_policy(costs={"cross_zone": crossing_cost})
         key = next(
-            k
-            for k in range(99)
-            if [c.zone for c in policy.placement.ranking(k)][0] != "a"
-            and "a" in [c.zone for c in policy.placement.ranking(k)]
+            candidate_key
+            for candidate_key in range(99)
+            if [cache.zone for cache in policy.placement.ranking(candidate_key)][0] != "a"
+            and "a" in [cache.zone for cache in policy.placement.ranking(candidate_key)]
         )
         zones = []
         for now in range(0, 900, 100):
@@ -166,31 +173,33 @@
             request.attempts[0].outcome, request.finished = "completed", True
             policy.on_attempt_result(now + 20.0, request, 0, 20.0, "hit", None)
         assert zones[0] != "a"
-        assert (zones[-1] == "a") == wanted
+        assert (zones[-1] == "a") == is_local
 
 
-def test_free_methods_leave_room_for_bound_ones() -> None:
-    """Bound requests found their caches full of what could have gone elsewhere."""
+def test_unconstrained_methods_leave_capacity_for_constrained_ones() -> None:
+    """Guards against constrained requests whose caches were full of requests that could have gone
+    elsewhere."""
     methods = deployment_settings()["methods"]
-    bound = methods[0] | {"name": "bound", "zones_open": ["a"]}
-    policy = RoutingPolicy(deployment_settings(methods=[methods[0], bound]), 1, 0.0)
+    constrained_method = methods[0] | {"name": "bound", "zones_open": ["a"]}
+    policy = RoutingPolicy(deployment_settings(methods=[methods[0], constrained_method]), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, [entry for entry in entries(30) if entry != ORIGIN])
-    for now in range(0, 5000, 10):  # a quarter of all is bound to a third of the caches
+    for now in range(0, 5000, 10):  # a quarter of the requests is constrained to a third of the caches
         route_request(policy, now, make_request("bound" if now % 40 == 0 else "read", now, now, now + 900.0))
         policy.fleet_limit.in_flight = 0.0
         policy.next_wakeup(now)
     owners = [policy.placement.ranking(key)[0].zone for key in range(3000)]
-    assert 0.05 < owners.count("a") / 3000 < 0.17  # a third before
+    assert 0.05 < owners.count("a") / 3000 < 0.17  # a third without reduced weights
 
 
-@pytest.mark.parametrize(("alone", "kept"), [(True, True), (False, False)])
+@pytest.mark.parametrize(("requires_draining", "kept"), [(True, True), (False, False)])
 @pytest.mark.parametrize("kind", ["delta", "full"])
-def test_list_that_removes_most_endpoints_is_not_believed_where_draining_alone_counts(
-    kind: str, alone: bool, kept: bool
+def test_list_that_removes_most_endpoints_is_not_applied_if_removal_requires_draining(
+    kind: str, requires_draining: bool, kept: bool
 ) -> None:
-    """ljubljana-main, recorded i59551a: all 89 caches were called gone for 20 s, and none had gone."""
+    """Guards against a list that called all 89 caches gone for 20 s, although none was (deployment
+    ljubljana-main, record i59551a)."""
     deployment = deployment_settings()
-    deployment["rules"]["draining_alone"] = alone
+    deployment["rules"]["draining_alone"] = requires_draining
     policy = RoutingPolicy(deployment, 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, entries()[:-1])
     policy.on_endpoint_list(100.0, "delta", 2, [entries(state="draining")[0]])
@@ -199,7 +208,7 @@
     assert "c0" not in policy.placement.weights
 
 
-def test_list_that_removes_few_endpoints_is_believed() -> None:
+def test_list_that_removes_few_endpoints_is_applied() -> None:
     deployment = deployment_settings()
     deployment["rules"]["draining_alone"] = True
     policy = RoutingPolicy(deployment, 1, 0.0)
@@ -208,21 +217,23 @@
     assert set(policy.placement.weights) == {f"c{i}" for i in range(2, 9)}
 
 
-@pytest.mark.parametrize(("part", "aside_at_the_end"), [(5, False), (100, True)])
-def test_reset_degrades_an_endpoint_only_where_resets_are_rare(part: int, aside_at_the_end: bool) -> None:
-    """ljubljana-main, answers lost at full size: each reset ejected a cache, until requests found none."""
+@pytest.mark.parametrize(("reset_interval", "is_ejected"), [(5, False), (100, True)])
+def test_reset_degrades_an_endpoint_only_where_resets_are_rare(reset_interval: int, is_ejected: bool) -> None:
+    """Guards against resets that each ejected a cache, until none was left (deployment ljubljana-main, lost
+    answers at full size)."""
     policy = RoutingPolicy(deployment_settings(proxies=40), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, entries(60)[:-1])
     for now in range(0, 6000, 10):
         name = f"c{now // 10 % 60}"
-        answered(policy, now, name, 20.0, "completed" if now // 10 % part else "reset")
+        report_result(policy, now, name, 20.0, "completed" if now // 10 % reset_interval else "reset")
         policy.next_wakeup(now)
-    answered(policy, 6000.0, "c9", 20.0, "reset")
-    assert (policy.endpoints.caches["c9"].admitted_fraction < 0.1) == aside_at_the_end
+    report_result(policy, 6000.0, "c9", 20.0, "reset")
+    assert (policy.endpoints.caches["c9"].admitted_fraction < 0.1) == is_ejected
 
 
 def test_baselines_found_in_an_overload_do_not_raise_the_fleet_limit() -> None:
-    """i2aaeb0 (tan-son-nhat): overloaded from the first second, 150 ms of 200 passed for usual all day."""
+    """Guards against a baseline of 150 ms, with an objective of 200 ms, from an overload that began in the
+    first second (deployment tan-son-nhat, record i2aaeb0)."""
     policy = RoutingPolicy(deployment_settings(proxies=3), 1, 0.0)
     policy.on_endpoint_list(0.0, "full", 1, entries()[:-1])
     values = []
