--- a/calicofall/routing/attempt_observer.py
+++ b/calicofall/routing/attempt_observer.py
@@ -13,7 +13,7 @@
 
 # Cache statuses of answers: the origin was asked, or was already being asked for another request.
 FETCHED, FETCHING = "fetched", "fetching"
-MAX_RELATIVE_LATENCY = 10.0
+MAX_RELATIVE_LATENCY = 10.0  # longer ones count as this
 FULL_RELATIVE_LATENCY = 5.0  # relative latency as which the fleet limit counts a refusal
 # Relative latency as which the origin limit counts a failed attempt that may have caused a fetch.
 FAILED_FETCH_LATENCY = 6.0
--- a/calicofall/routing/cached_keys.py
+++ b/calicofall/routing/cached_keys.py
@@ -19,10 +19,8 @@
 
     def __init__(self, now: float) -> None:
         """Starts without cached keys."""
-        self.holders: list[set[tuple[int | None, str]]] = [
-            set(),
-            set(),
-        ]  # (key, endpoint) in two generations: newer, older
+        # (key, endpoint) in two generations: newer, older.
+        self.holders: list[set[tuple[int | None, str]]] = [set(), set()]
         self.rotate_at = now + HOLD_SPAN_MS
 
     def holds(self, endpoint: str, key: int | None) -> bool:
--- a/calicofall/routing/latency.py
+++ b/calicofall/routing/latency.py
@@ -10,7 +10,7 @@
 from calicofall.routing.endpoint import Endpoint
 from calicofall.routing.sliding_window import SlidingWindow
 
-WINDOW_MS = 60_000.0
+WINDOW_MS = 60_000.0  # latencies are kept for this time
 WINDOW_BUCKETS = 24
 MIN_SAMPLES = 8  # smallest number of answers of a mean: a few heavy requests are no overload
 BASELINE_MIN_SAMPLES = 2 * MIN_SAMPLES
--- a/calicofall/routing/limits.py
+++ b/calicofall/routing/limits.py
@@ -9,9 +9,9 @@
 from calicofall.routing.settings import Deployment, RoutingSettings
 from calicofall.routing.traffic import Traffic
 
-MIN_SAMPLES = 8
+MIN_SAMPLES = 8  # smallest number of latencies by which a limit changes
 LOOK_ASIDE_ORIGIN_MIN_SAMPLES = 2  # if the proxy sends to the origin itself, each answer tells more
-MAX_WINDOW_MS = 1000.0
+MAX_WINDOW_MS = 1000.0  # longest time in which an overload is assumed to build up
 OVERLOAD_SPAN_MS = 4000.0  # an overload is over when the fleet limit has not decreased for so long
 # Floors and initial values of the limits: requests in flight per endpoint, of all proxies together.
 FLEET_FLOOR = 2.5
--- a/calicofall/routing/origin_protection.py
+++ b/calicofall/routing/origin_protection.py
@@ -7,8 +7,8 @@
 
 SPARE_LIMIT_FRACTION = 0.5  # of the origin limit, for reads that no cache accepts
 FAILED_RELATIVE_LATENCY = 4.0  # a failure of the origin counts as this relative latency
-MAX_RELATIVE_LATENCY = 10.0
-RECENT_DECREASE_MS = 2_000.0
+MAX_RELATIVE_LATENCY = 10.0  # longer ones count as this
+RECENT_DECREASE_MS = 2_000.0  # the origin counts as overloaded for so long after a decrease of its limit
 LEARNING_ATTEMPTS = 2  # caches missed by the first attempts of a request store the answer of the origin
 
 
--- a/calicofall/routing/policy.py
+++ b/calicofall/routing/policy.py
@@ -43,7 +43,7 @@
 # Fraction of the latency objective: a cache does not answer a request with more work than that in time.
 HEAVY_WORK_FRACTION = 0.8
 CAPACITY_WAIT_MS = 15.0  # until the next decision on a request for which a limit had no capacity
-MIN_REMAINING_TO_WAIT_MS = 20.0
+MIN_REMAINING_TO_WAIT_MS = 20.0  # with less time remaining, a request does not wait for capacity
 # Queueing time-outs of first attempts and of retries, as fractions of the latency objective: how long after
 # its arrival a request may wait for capacity.
 QUEUEING_TIMEOUT_FRACTION, RETRY_QUEUEING_TIMEOUT_FRACTION = 0.25, 0.5
@@ -490,7 +490,7 @@
         return self.outliers.heavily_degraded_count(now)
 
     def rejection_cause(self, now: float, request: Request) -> str:
-        """Returns why a request was given up, without changing any state."""
+        """Returns why a request was given up; changes no state."""
         ranking: list[Endpoint] = []
         if request.key is not None:
             ranking = self.placement.ranking(request.key, self.placement.constraints[request.method])
--- a/calicofall/routing/router.py
+++ b/calicofall/routing/router.py
@@ -289,7 +289,7 @@
         return self.policy.outliers.ejected(now)
 
     def rejection_cause(self, now: float, request: Request) -> str:
-        """Returns why a request was given up, for the analysis of losses, without changing any state."""
+        """Returns why a request was given up, for the analysis of losses; changes no state."""
         return self.policy.rejection_cause(now, request)
 
     def has_alternative(self, now: float, request: Request) -> bool:
--- a/calicofall/routing/traffic.py
+++ b/calicofall/routing/traffic.py
@@ -6,7 +6,7 @@
 
 LOW_TRAFFIC_REQUESTS = 16.0  # per endpoint in SENT_SPAN_MS; with fewer, a proxy can measure little by itself
 MIN_SAMPLES = 8
-MAX_RELATIVE_LATENCY = 5.0
+MAX_RELATIVE_LATENCY = 5.0  # longer ones count as this
 
 
 class RelativeCapacity:
