--- a/calicofall/startup/peer_messages.py
+++ b/calicofall/startup/peer_messages.py
@@ -1,11 +1,12 @@
-"""The datagrams that proxies of a fleet send each other, and their encoding.
+"""Encoding and decoding of the datagrams that the proxies of a fleet send each other.
 
-A datagram is the digest of its body (8 bytes) and the body: a JSON array of the version, the fleet's name,
-the place of the message's type in `MESSAGE_TYPES`, and the fields of the message in their order.
+A datagram consists of the digest of its body (8 bytes) and the body: a JSON array of the protocol version,
+the fleet's name, the index of the message's type in `MESSAGE_TYPES`, and the fields of the message in their
+order.
 
-Invariants: decoding raises nothing but `InvalidMessageError`, whatever the bytes are; a datagram of another
-fleet, of another version or with a wrong digest never gets through. A peer's message is a hint. There is no
-key and no sign-in, so the address belongs on a closed network.
+Invariants: whatever the bytes are, decoding raises no exception other than `InvalidMessageError`; a datagram
+of another fleet, of another version or with a wrong digest is rejected. A message of a peer is only a hint.
+Datagrams are not authenticated, so the gossip address must be on a closed network.
 """
 
 from hashlib import blake2b
@@ -21,29 +22,32 @@
 from calicofall.fleet.quota_leases import QuotaLeaseMessage
 
 VERSION = 1
-MAX_DATAGRAM_BYTES = 512  # bytes of a datagram
-MAX_LIST_LENGTH = 32  # numbers in a field that holds several
+MAX_DATAGRAM_BYTES = 512
+MAX_LIST_LENGTH = 32  # numbers in a field that is a list
 DIGEST_BYTES = 8
 NAME_DIGEST_BYTES = 6
 
-Say = AgreementMessage  # the name by which proxy/gossip_transport.py knows it
+Say = AgreementMessage  # an alias that has no uses in this repository
 
 
 class InvalidMessageError(Exception):
-    """Why a datagram is dropped, in one word by which it is counted: digest, form, version or fleet."""
+    """A datagram is dropped; the text is the reason by which drops are counted.
+
+    Reasons are `digest`, `form`, `version` and `fleet`.
+    """
 
 
 class StartupMessage(NamedTuple):
-    """A question whether a peer has a live watch at the discovery service, or the answer to one."""
+    """Asks a peer whether it has a live watch at the discovery service, or answers such a request."""
 
-    asks: bool  # a question, else an answer
+    asks: bool  # whether this is a request; otherwise an answer
     sender: int  # the number of the proxy that sends it
     life: int  # the incarnation of the sender
-    mark: int  # the sample that the question belongs to
+    mark: int  # the identifier of the sample that the request belongs to
     has_watch: bool  # whether the sender has a live watch
 
 
-# The place of a type in this tuple is its number in datagrams.
+# Datagrams identify a type by its index in this tuple.
 MESSAGE_TYPES = (
     StartupMessage,
     AgreementMessage,
@@ -65,21 +69,26 @@
 
 
 def name_digest(name: str) -> int:
-    """The number that stands for a name in datagrams, the same at every proxy: 48 bits."""
+    """The 48-bit number that identifies a name in datagrams; it is the same at every proxy."""
     return int.from_bytes(blake2b(name.encode(), digest_size=NAME_DIGEST_BYTES).digest())
 
 
 def encode_message(fleet: str, message: PeerMessage) -> bytes:
-    """The datagram of a message."""
+    """Encodes a message as a datagram of a fleet."""
     body = orjson.dumps([VERSION, fleet, MESSAGE_TYPES.index(type(message)), *message])
     return _digest(body) + body
 
 
 def decode_message(data: bytes, fleet: str, proxies: int) -> PeerMessage:
-    """The message of a datagram, for a proxy of a fleet of so many.
+    """Decodes a datagram.
+
+    Args:
+        data: The bytes of the datagram.
+        fleet: The name of the receiver's fleet.
+        proxies: How many proxies the fleet has; the sender's number has to be lower.
 
     Raises:
-        InvalidMessageError: The datagram is not whole, not of this version or fleet, or not of a known form.
+        InvalidMessageError: The datagram is damaged, of another version or fleet, or not a known message.
     """
     if (
         not DIGEST_BYTES < len(data) <= MAX_DATAGRAM_BYTES
@@ -108,13 +117,13 @@
 
 
 def _has_valid_fields(message: Any) -> bool:
-    """Whether the fields of a message have their annotated types, and no number is negative."""
+    """Whether all fields of a message have their annotated types, and no number is negative."""
     annotations = type(message).__annotations__
     return all(_has_type(getattr(message, field), kind) for field, kind in annotations.items())
 
 
 def _has_type(value: Any, kind: Any) -> bool:
-    """Whether a value is a number or a flag, as `kind` says, or a list of numbers where it says neither."""
+    """Whether a value has the type `kind`, where any type but int and bool stands for a list of integers."""
     if kind in (int, bool):
         return type(value) is kind and value >= 0
     if type(value) is not list or len(value) > MAX_LIST_LENGTH:
--- a/calicofall/startup/snapshot.py
+++ b/calicofall/startup/snapshot.py
@@ -1,11 +1,13 @@
-"""The snapshot of a proxy: its last endpoint list and what it learned, kept for the next process.
+"""The snapshot of a proxy: its last endpoint list and its learned state, stored for the next process.
 
-The file is `calicofall-snapshot 1 DIGEST`, a line feed and a JSON object. The digest covers the object, so a
-file that is cut short anywhere or changed in one byte is not used. The age is counted on the system's clock,
-since it outlives the process: where a clock was set back, a file is from the future and is not used.
+The file consists of `calicofall-snapshot 1 DIGEST`, a line feed and a JSON object. The digest covers the
+object, so a file that is truncated or has a changed byte is not used. The age is measured on the system's
+clock, since the file outlives the process. After a clock was set back, a file has a time in the future and is
+not used.
 
-Invariants: decoding raises nothing but `UnusableSnapshotError`, whatever the bytes are; what another proxy,
-other settings or a later clock wrote is not used; an old list never counts as more than one known to be old.
+Invariants: whatever the bytes are, decoding raises no exception other than `UnusableSnapshotError`; a
+snapshot of another proxy, of other settings or with a time in the future is not used; a restored endpoint
+list is only ever treated as a list that may be out of date.
 """
 
 from hashlib import blake2b
@@ -17,27 +19,27 @@
 
 VERSION = 1
 MAGIC = b"calicofall-snapshot "
-RESTORED_LIMIT_FRACTION = 0.5  # of a learned concurrency limit: endpoints may have lost their data meanwhile
+RESTORED_LIMIT_FRACTION = 0.5  # of a learned concurrency limit: endpoints may have lost their cached data
 MAX_CLOCK_DIFFERENCE_S = 1.0  # between the clocks of two processes
-MAX_FILE_BYTES = 8 << 20  # bytes of a file
-MAX_RESTORED_LIMIT = 1e6
+MAX_FILE_BYTES = 8 << 20
+MAX_RESTORED_LIMIT = 1e6  # requests in flight
 MAX_RESTORED_LATENCY_MS = 60_000.0
 MAX_RESTORED_FRACTION = 1.0
 
 
 class UnusableSnapshotError(Exception):
-    """Why a snapshot is not used, in a few words."""
+    """A snapshot is not used; the text is the reason, in a few words."""
 
 
 def body_digest(body: bytes) -> bytes:
-    """The digest of a snapshot's body, as its first line has it."""
+    """The digest of a snapshot's body, in the form that its first line contains."""
     return blake2b(body, digest_size=16).hexdigest().encode()
 
 
 def snapshot_owner(name: str, settings: dict[str, Any], discovery: str) -> str:
-    """Whom a snapshot is for: a proxy's name, with a digest of its settings and discovery address.
+    """Identifies the owner of a snapshot: a proxy's name, and a digest of its settings and discovery address.
 
-    Without the digest, proxies of one name that share a folder would take each other's snapshots, and
+    Without the digest, proxies of the same name that share a folder would use each other's snapshots, and
     latencies and limits would outlive the settings under which they were learned.
     """
     identity = orjson.dumps([settings, discovery], option=orjson.OPT_SORT_KEYS)
@@ -45,13 +47,13 @@
 
 
 def encode_snapshot(owner: str, wall: float, endpoint_list: dict[str, Any], learned: dict[str, Any]) -> bytes:
-    """The bytes of a snapshot.
+    """Encodes a snapshot as the bytes of its file.
 
     Args:
-        owner: Whom it is for (`snapshot_owner`).
+        owner: The owner, from `snapshot_owner`.
         wall: The system's clock, in seconds.
         endpoint_list: The endpoint list in the form of the discovery service.
-        learned: What the router learned, as plain values.
+        learned: The learned state of the router, as plain values.
     """
     body = orjson.dumps({"proxy": owner, "at": wall, "known": endpoint_list, "learned": learned})
     return MAGIC + b"%d %b\n" % (VERSION, body_digest(body)) + body
@@ -60,61 +62,63 @@
 def decode_snapshot(
     data: bytes, owner: str, wall: float, max_age_s: float
 ) -> tuple[dict[str, Any], dict[str, Any], float]:
-    """The endpoint list, what was learned, and the snapshot's age in seconds.
+    """Decodes a snapshot; returns the endpoint list, the learned state, and the snapshot's age in seconds.
 
     Args:
         data: The bytes of the file.
-        owner: For whom it has to be (`snapshot_owner`).
+        owner: The expected owner, from `snapshot_owner`.
         wall: The system's clock, in seconds.
-        max_age_s: The greatest age, in seconds.
+        max_age_s: The maximum age, in seconds.
 
     Raises:
-        UnusableSnapshotError: It is not whole, not this proxy's, too old or without a list.
+        UnusableSnapshotError: The snapshot is damaged, not this proxy's, too old or without endpoints.
     """
     body = _verified_body(data)
     try:
-        held = orjson.loads(body)
-        age_s = wall - float(held["at"])
-        _verify_owner_and_age(held, owner, age_s, max_age_s)
-        _verify_content(held)
+        content = orjson.loads(body)
+        age_s = wall - float(content["at"])
+        _verify_owner_and_age(content, owner, age_s, max_age_s)
+        _verify_content(content)
     except (ValueError, KeyError, TypeError) as error:
         raise UnusableSnapshotError(f"not readable: {str(error)[:60]}") from error
-    return held["known"], held["learned"], max(0.0, age_s)
+    return content["known"], content["learned"], max(0.0, age_s)
 
 
 def _verified_body(data: bytes) -> bytes:
     head, _, body = data.partition(b"\n")
     parts = head.split(b" ")
     if not data.startswith(MAGIC) or len(parts) != 3:
-        raise UnusableSnapshotError("no snapshot")
+        raise UnusableSnapshotError("not a snapshot file")
     _, version, expected_digest = parts
     if version != b"%d" % VERSION:
-        raise UnusableSnapshotError(f"of version {version[:8].decode(errors='replace')}, not {VERSION}")
+        raise UnusableSnapshotError(f"version {version[:8].decode(errors='replace')} instead of {VERSION}")
     if expected_digest != body_digest(body):
-        raise UnusableSnapshotError("cut short or changed")
+        raise UnusableSnapshotError("truncated or modified: the digest does not match")
     return body
 
 
-def _verify_owner_and_age(held: dict[str, Any], owner: str, age_s: float, max_age_s: float) -> None:
-    if held["proxy"] != owner:
-        raise UnusableSnapshotError(f"of another proxy or other settings, {str(held['proxy'])[:40]}")
+def _verify_owner_and_age(content: dict[str, Any], owner: str, age_s: float, max_age_s: float) -> None:
+    if content["proxy"] != owner:
+        raise UnusableSnapshotError(
+            f"written by another proxy or with other settings: {str(content['proxy'])[:40]}"
+        )
     if age_s < -MAX_CLOCK_DIFFERENCE_S:
-        raise UnusableSnapshotError(f"from the future, by {-age_s:.0f} s")
+        raise UnusableSnapshotError(f"its time is {-age_s:.0f} s in the future")
     if age_s > max_age_s:
-        raise UnusableSnapshotError(f"{age_s:.0f} s old, over {max_age_s:.0f}")
+        raise UnusableSnapshotError(f"{age_s:.0f} s old, more than the maximum of {max_age_s:.0f} s")
 
 
-def _verify_content(held: dict[str, Any]) -> None:
-    parse_endpoint_list(held["known"])
-    if not held["known"]["endpoints"] or not isinstance(held["learned"], dict):
-        raise UnusableSnapshotError("without a list")
+def _verify_content(content: dict[str, Any]) -> None:
+    parse_endpoint_list(content["known"])
+    if not content["known"]["endpoints"] or not isinstance(content["learned"], dict):
+        raise UnusableSnapshotError("no endpoint list or no learned state")
 
 
 def restorable_state(learned: dict[str, Any], endpoints: set[str]) -> dict[str, Any]:
-    """What of a snapshot may be used: the names are those of the router and of stored snapshots.
+    """The part of a snapshot's learned state that may be used, under the names of stored snapshots.
 
-    Concurrency limits count at half (`limits`), baseline latencies in milliseconds as they are (`usual`), and
-    admitted fractions (`parts`) where the endpoint is still one of `endpoints`.
+    Concurrency limits (`limits`) are halved, baseline latencies in milliseconds (`usual`) are used unchanged,
+    and admitted fractions (`parts`) are used if the endpoint is still one of `endpoints`.
     """
     limits = _numbers_up_to(MAX_RESTORED_LIMIT, learned.get("limits"))
     latencies_ms = _numbers_up_to(MAX_RESTORED_LATENCY_MS, learned.get("usual"))
@@ -126,12 +130,12 @@
     }
 
 
-def _numbers_up_to(largest: float, held: Any) -> dict[str, float]:
-    """Of a map read from a file, the entries that are positive numbers up to `largest`."""
-    if not isinstance(held, dict):
+def _numbers_up_to(largest: float, values: Any) -> dict[str, float]:
+    """The entries of a mapping read from a file that are positive numbers up to `largest`."""
+    if not isinstance(values, dict):
         return {}
     return {
         name: float(value)
-        for name, value in held.items()
+        for name, value in values.items()
         if isinstance(value, int | float) and 0.0 < value <= largest
     }
