--- a/calicofall/__main__.py
+++ b/calicofall/__main__.py
@@ -4,8 +4,8 @@
 import sys
 
 if __name__ == "__main__":
-    # SIGHUP and SIGTERM stay blocked until the proxy has handlers for them: one that arrives during the
-    # imports would end the process. The other commands unblock them at once.
+    # SIGHUP and SIGTERM are blocked until the proxy has installed handlers: without this, a signal that
+    # arrives during the imports would end the process. All other commands unblock them immediately.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM})
 
 from calicofall.cli.main import main
--- a/calicofall/config/__init__.py
+++ b/calicofall/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings as operators write them, read and checked: the only package that knows their names."""
+"""Reads and checks the settings in the operators' files, and converts their names to those of the program."""
--- a/calicofall/config/addresses.py
+++ b/calicofall/config/addresses.py
@@ -1,4 +1,4 @@
-"""Network addresses as the operators' file writes them: `host:port`."""
+"""Network addresses in the form of the operators' file, `host:port`."""
 
 from typing import Any
 
@@ -8,10 +8,10 @@
 
 
 def parse_address(address: str) -> tuple[str, int]:
-    """Host and port of an address.
+    """Returns the host and the port of an address.
 
     Raises:
-        InvalidAddressError: It is not a host, a colon and a port from 1 to 65535.
+        InvalidAddressError: The address is not a host, a colon and a port from 1 to 65535.
     """
     host, colon, port = address.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
@@ -20,10 +20,10 @@
 
 
 def validate_management_address(address: Any, listen: str) -> None:
-    """Checks the address of the management interface against the one of clients.
+    """Checks that the management address is valid and differs from the address for clients.
 
     Raises:
-        ConfigurationError: It is no address, or the one at which clients are served.
+        ConfigurationError: It is not an address, or it is the address for clients.
     """
     if not isinstance(address, str):
         raise InvalidFieldError("mgmt", address, "an address")
--- a/calicofall/config/checks.py
+++ b/calicofall/config/checks.py
@@ -1,4 +1,4 @@
-"""Checks of single values in settings, shared by the modules that read them."""
+"""Checks of single values, shared by the modules that read settings."""
 
 from math import isfinite
 from typing import Any
@@ -6,18 +6,18 @@
 from calicofall.config.errors import InvalidFieldError
 
 
-def is_whole_number(value: Any, least: float, most: float) -> bool:
-    """Whether a value is an integer, and no flag, from `least` to `most`."""
-    return isinstance(value, int) and not isinstance(value, bool) and least <= value <= most
+def is_whole_number(value: Any, minimum: float, maximum: float) -> bool:
+    """Whether a value is an integer, but not a boolean, from `minimum` to `maximum`."""
+    return isinstance(value, int) and not isinstance(value, bool) and minimum <= value <= maximum
 
 
 def is_number(value: Any) -> bool:
-    """Whether a value is a number, and no flag."""
+    """Whether a value is a number, but not a boolean."""
     return isinstance(value, int | float) and not isinstance(value, bool)
 
 
 def number_or_minus_one(value: Any) -> float:
-    """The number that a value is; -1 if it is none, or not finite."""
+    """The value as a float, or -1 if it is not a finite number."""
     return float(value) if is_number(value) and isfinite(value) else -1.0
 
 
@@ -27,15 +27,21 @@
 
 
 def require(field: str, value: Any, valid: bool, expected: str) -> None:
-    """Stops at a field that is not valid.
+    """Raises an error if a field is not valid.
+
+    Args:
+        field: The path of the field in the operators' file.
+        value: The value that was found.
+        valid: Whether the value is valid.
+        expected: What is expected, to complete "... would be right".
 
     Raises:
-        InvalidFieldError: With the field, its value and what was expected.
+        InvalidFieldError: The field is not valid.
     """
     if not valid:
         raise InvalidFieldError(field, value, expected)
 
 
-def require_flag(field: str, value: Any) -> None:
-    """Stops at a field that is neither missing nor true or false."""
+def require_boolean(field: str, value: Any) -> None:
+    """Raises an error if a field is present and not a boolean."""
     require(field, value, value is None or isinstance(value, bool), "true or false")
--- a/calicofall/config/errors.py
+++ b/calicofall/config/errors.py
@@ -1,14 +1,14 @@
-"""Errors of a configuration that cannot be acted on. Their text is what operators read."""
+"""Errors in a configuration. Operators see the texts."""
 
 from typing import Any
 
 
 class ConfigurationError(ValueError):
-    """A configuration is wrong; the base of the errors of this package."""
+    """Base class of the errors of this package: a configuration is not valid."""
 
 
 class MissingFieldError(ConfigurationError):
-    """A field that is needed is not there, or empty."""
+    """A required field is missing or empty."""
 
     def __init__(self, field: str) -> None:
         self.field = field
@@ -16,7 +16,7 @@
 
 
 class InvalidFieldError(ConfigurationError):
-    """A field has another value than was expected."""
+    """A field does not have the expected value."""
 
     def __init__(self, field: str, value: Any, expected: str) -> None:
         self.field = field
@@ -26,7 +26,7 @@
 
 
 class DuplicateAddressError(ConfigurationError):
-    """A field has the address of another one."""
+    """Two fields have the same address."""
 
     def __init__(self, field: str, value: Any, other: str) -> None:
         self.field = field
@@ -36,28 +36,28 @@
 
 
 class LimitTooLowError(ConfigurationError):
-    """A limit under which a proxy cannot work."""
+    """A limit is lower than the minimum that a proxy needs."""
 
-    def __init__(self, field: str, least: int) -> None:
+    def __init__(self, field: str, minimum: int) -> None:
         self.field = field
-        self.least = least
-        super().__init__(f"{field} is under {least}")
+        self.minimum = minimum
+        super().__init__(f"{field} is under {minimum}")
 
 
 class InvalidAddressError(ConfigurationError):
-    """A text that is no network address; a host and a port were expected."""
+    """A text is not a network address."""
 
     def __init__(self, address: str) -> None:
         self.address = address
-        super().__init__(f"no address: {address!r}")
+        super().__init__(f"no address of the form host:port: {address!r}")
 
 
 class InvalidEndpointListError(ConfigurationError):
-    """A value that is no endpoint list."""
+    """A value is not an endpoint list."""
 
 
 class InvalidFileError(ConfigurationError):
-    """A configuration file that cannot be read, or whose content is wrong."""
+    """A configuration file cannot be read, or its content is not valid."""
 
     def __init__(self, path: str, reason: object) -> None:
         self.path = path
--- a/calicofall/config/node_file.py
+++ b/calicofall/config/node_file.py
@@ -1,4 +1,4 @@
-"""The configuration file of one proxy: read, completed from the environment, and checked as a whole."""
+"""Reads the configuration file of one proxy, completes it from the environment, and checks it."""
 
 import os
 from typing import Any
@@ -19,7 +19,7 @@
 from calicofall.recording import segment_writer
 
 PATH_VARIABLE = "PROXY_CONFIG"
-# The fields that the environment may tell, and the variables.
+# The fields that environment variables may set, and the names of the variables.
 ENVIRONMENT = {
     "name": "PROXY_NAME",
     "listen": "PROXY_LISTEN",
@@ -33,19 +33,19 @@
 
 
 def load_node_file(path: str | None, again: bool = False) -> dict[str, Any]:
-    """The configuration of a proxy, from a file and the environment.
+    """Loads the configuration of a proxy from a file and the environment.
 
     Args:
-        path: The file, or None for the one that PROXY_CONFIG tells.
-        again: At the start the environment goes before the file. Where the file is read again, it goes before
-            the environment, which tells what held at the start.
+        path: The file, or None for the one that PROXY_CONFIG names.
+        again: Whether the file is reread. At the start, the environment takes precedence over the file. When
+            the file is reread, it takes precedence, since the environment still has the values of the start.
 
     Raises:
-        ConfigurationError: The file is not told, cannot be read, or its content is wrong.
+        ConfigurationError: No file is named, or it cannot be read, or its content is not valid.
     """
     path = path or os.environ.get(PATH_VARIABLE)
     if not path:
-        raise ConfigurationError(f"{PATH_VARIABLE} is missing: the configuration's path")
+        raise ConfigurationError(f"{PATH_VARIABLE} is missing: it has to name the configuration file")
     try:
         from_file = _read_object(path)
         environment = _read_environment()
@@ -64,7 +64,7 @@
     with open(path, "rb") as file:
         content = orjson.loads(file.read())
     if not isinstance(content, dict):
-        raise ConfigurationError("not an object")
+        raise ConfigurationError("the content is not a JSON object")
     return content
 
 
@@ -98,7 +98,7 @@
 def _validate_document(node: dict[str, Any]) -> None:
     if node.get("document") is None:
         return
-    # Imported only where it is needed: a start without a document does without it.
+    # Imported only here, so that a start without a settings document does not load the module.
     from calicofall.proxy import configuration_sync
 
     configuration_sync.initial_document(node)
--- a/calicofall/config/settings.py
+++ b/calicofall/config/settings.py
@@ -1,23 +1,30 @@
-"""The operators' settings: their names and units, and the checks on them.
+"""The settings in the operators' file: their names, units and checks.
 
-Invariants: no other module knows the names under which operators write settings; times become milliseconds.
+Invariants: only this module converts the operators' names (settings documents in fleet/ contain them, too);
+all times are converted to milliseconds.
 """
 
 import re
 from math import inf
 from typing import Any
 
-from calicofall.config.checks import is_fraction, is_whole_number, number_or_minus_one, require, require_flag
+from calicofall.config.checks import (
+    is_fraction,
+    is_whole_number,
+    number_or_minus_one,
+    require,
+    require_boolean,
+)
 
-NS_PER_MS = 1_000_000  # nanoseconds in a millisecond
+NS_PER_MS = 1_000_000
 DEFAULT_DESCRIPTORS = 1024
 DEFAULT_MEMORY_MB = 192
 MAX_REPORT_FIELDS = 4
 
-# What the settings say of a method's effect, and whether the router may repeat it.
+# The effect of a method as the settings state it, and whether the router may retry it.
 RETRY_SAFETY = {"pure": "retriable", "token": "deduped", "side_effect": "non-retriable"}
 
-# The names of the settings in snake_case, and those of the program.
+# Names of settings in the operators' file, in snake_case, and the names in the program.
 NAMES = {
     "balancers": "proxies",
     "realms": "tenants",
@@ -41,27 +48,27 @@
 }
 
 LOAD_REPORT_MODES = ("inline", "on_probe", "off")
-SIMULATOR_CAPABILITIES = ("peerMessages", "probes")  # that sockets have no means for
+SIMULATOR_CAPABILITIES = ("peerMessages", "probes")  # not available on sockets
 RETRY_BUDGET_RULES = {"spareAttempts", "repeatRatio"}
 NON_NEGATIVE_RULES = ("spareAttempts", "repeatRatio", "leftOffNs", "bootStampErrorNs")
 OBJECTIVE_FRACTIONS = ("slowEnd", "missAllowed")
 PINNED = {"limits", "caches"}
-# What a method may be restricted to, and the setting that lists the names.
+# Restrictions of a method, and the setting that lists the names that each one may contain.
 METHOD_RESTRICTIONS = (("kindsOpen", "kinds"), ("failureDomainsOnly", "failureDomains"))
 
 
 def normalize_settings(value: Any) -> Any:
-    """Settings as the program has them: its names, and times in milliseconds.
+    """Converts settings to the program's names, and times to milliseconds.
 
-    What is unknown is carried along. Values inside the settings are normalized the same way.
+    Unknown settings are kept. Nested values are converted the same way.
     """
     if isinstance(value, list):
         return [normalize_settings(item) for item in value]
     if not isinstance(value, dict):
         return value
     normalized = {}
-    for given_name, given_item in value.items():
-        name, item = _convert_time(given_name, given_item)
+    for outer_name, outer_item in value.items():
+        name, item = _convert_time(outer_name, outer_item)
         name = re.sub(r"([A-Z])", lambda match: "_" + str(match.group(1)).lower(), name)
         name = NAMES.get(name, name)
         normalized[name] = RETRY_SAFETY.get(item, item) if name == "repeats" else normalize_settings(item)
@@ -75,16 +82,16 @@
 
 
 def validate_settings(settings: dict[str, Any]) -> None:
-    """Checks the settings that a proxy acts on; the first one that is wrong ends it.
+    """Checks the settings that a proxy uses, up to the first invalid one.
 
     Raises:
-        ConfigurationError: With the field, its value and what was expected.
+        ConfigurationError: A setting is not valid; the text names the field, its value and what is expected.
     """
     _validate_place_in_fleet(settings)
     capabilities = _section(settings, "caps")
     reports = _section(settings, "stats")
     for name in SIMULATOR_CAPABILITIES:
-        require_flag(f"settings.caps.{name}", capabilities.get(name))
+        require_boolean(f"settings.caps.{name}", capabilities.get(name))
     mode = reports.get("how")
     modes = ", ".join(LOAD_REPORT_MODES)
     require("settings.stats.how", mode, mode in (None, *LOAD_REPORT_MODES), f"one of {modes}")
@@ -96,7 +103,7 @@
     for name in OBJECTIVE_FRACTIONS:
         value = objective.get(name)
         require(f"settings.blend.{name}", value, value is None or is_fraction(value), "from 0 to 1")
-    require_flag("settings.rules.removalNotBinding", rules.get("removalNotBinding"))
+    require_boolean("settings.rules.removalNotBinding", rules.get("removalNotBinding"))
     _validate_pins(settings.get("pins") or {})
     _validate_report_fields(reports.get("fields"))
 
@@ -146,7 +153,7 @@
         valid = value is None or number_or_minus_one(value) >= 0
         require(f"settings.rules.{name}", value, valid, "a number from 0")
     window = rules.get("resendSpanNs")
-    # The window of the retry budget is needed where one of its limits is given.
+    # The time window of the retry budget is required if one of the budget's limits is set.
     valid = number_or_minus_one(window) > 0 if window is not None else not rules.keys() & RETRY_BUDGET_RULES
     expected = "a number over 0, beside spareAttempts or repeatRatio,"
     require("settings.rules.resendSpanNs", window, valid, expected)
@@ -169,44 +176,44 @@
 
 
 def settings_on_sockets(settings: dict[str, Any]) -> tuple[dict[str, Any], list[str]]:
-    """The settings as a proxy on sockets has them, and a line for each that has no meaning there."""
+    """Returns the settings for a proxy on sockets, and a line for each setting that has no effect there."""
     capabilities = settings.get("caps") or {}
     rules = settings.get("rules") or {}
     disallowed = [name for name in SIMULATOR_CAPABILITIES if capabilities.get(name)]
     lines = [
-        f"settings.caps.{name} is not carried on sockets: the module is told that it is not allowed"
+        f"settings.caps.{name} is not carried on sockets: the router treats it as not allowed"
         for name in disallowed
     ]
-    # On sockets a response is buffered for its own client alone, after it has left its endpoint.
-    without_meaning = {
-        "responseRoom": (capabilities, "answers wait for their own clients alone"),
-        "leftOffNs": (rules, "clients tell there how long they wait, and not until when"),
+    # On sockets, a response is buffered only for its own client, after it has left the endpoint.
+    without_effect = {
+        "responseRoom": (capabilities, "a response is buffered only for its own client"),
+        "leftOffNs": (rules, "clients send how long they wait, not the time until which they wait"),
     }
     lines += [
-        f"settings on {name} have no bearing on sockets: {why}"
-        for name, (section, why) in without_meaning.items()
+        f"settings on {name} have no effect on sockets: {reason}"
+        for name, (section, reason) in without_effect.items()
         if section.get(name)
     ]
     capabilities = capabilities | dict.fromkeys(disallowed, False)
     on_sockets = {
-        "caps": {name: value for name, value in capabilities.items() if name not in without_meaning},
-        "rules": {name: value for name, value in rules.items() if name not in without_meaning},
+        "caps": {name: value for name, value in capabilities.items() if name not in without_effect},
+        "rules": {name: value for name, value in rules.items() if name not in without_effect},
     }
     return settings | on_sockets, lines
 
 
 def parse_seed(text: Any) -> int:
-    """The seed of the router: written in hexadecimal, or a number already."""
+    """Returns the seed of the router, from hexadecimal text or an integer."""
     return text if isinstance(text, int) else int(text, 16)
 
 
 def descriptor_limit(node: dict[str, Any]) -> int:
-    """How many file descriptors a configuration allows."""
+    """Returns the file descriptors that a configuration allows the proxy to use."""
     return _limit(node, "sockets", DEFAULT_DESCRIPTORS)
 
 
 def memory_limit_mb(node: dict[str, Any]) -> int:
-    """How many megabytes of memory a configuration allows."""
+    """Returns the memory in megabytes that a configuration allows the proxy to use."""
     return _limit(node, "memory_mb", DEFAULT_MEMORY_MB)
 
 
--- a/calicofall/config/startup.py
+++ b/calicofall/config/startup.py
@@ -1,16 +1,16 @@
-"""The `start` section of the operators' file: limits over the fleet, peers and the snapshot folder."""
+"""The `start` section of the operators' file: limits over the fleet, gossip peers and the snapshot folder."""
 
 from math import inf
 from typing import Any, TypedDict, cast
 
 from calicofall.config.addresses import parse_address
-from calicofall.config.checks import is_number, is_whole_number, require, require_flag
+from calicofall.config.checks import is_number, is_whole_number, require, require_boolean
 
 DEFAULT_SNAPSHOT_AGE_S = 30.0
 MAX_FLEET_NAME_LENGTH = 64
 MIN_LEASE_S = 1.0
 
-# The names of the file, and those of the program.
+# Names in the operators' file, and the names in the program.
 NAMES = {
     "watchesPerS": "list_watches_per_s",
     "handshakesPerS": "handshakes_per_s",
@@ -35,32 +35,32 @@
     "snapshotAgeS",
     "lendS",
 )
-NEED_PEERS = ("lendS", "witnesses")
+NEED_GOSSIP = ("lendS", "witnesses")
 
 
 class StartupSettings(TypedDict, total=False):
-    """What the section says. A key that it does not say is not there."""
+    """The parsed section. Settings that it does not contain have no key."""
 
-    list_watches_per_s: float  # a second that the discovery service can begin
-    handshakes_per_s: float  # a second at an endpoint, over the fleet
-    max_connections: int  # at an endpoint, over the fleet
-    endpoint_capacity_per_s: float  # requests a second that a warm endpoint of weight 1 can do
-    origin_fetches_per_s: float  # a second at the origin, over the fleet
-    max_in_flight: float  # requests in flight at an endpoint, over the fleet
-    quota_lease_s: float  # seconds for which proxies lease quotas to each other
-    shares_evidence: bool  # whether proxies tell each other what they saw of endpoints
-    fleet_name: str  # its name
-    gossip_address: tuple[str, int]  # our address for peer messages
-    peer_addresses: list[tuple[str, int]]  # the addresses of all proxies, by their numbers
-    snapshot_folder: str  # the folder of snapshots
-    max_snapshot_age_s: float  # seconds after which a snapshot is not used
+    list_watches_per_s: float  # list watches that the discovery service can begin, over the fleet
+    handshakes_per_s: float  # at one endpoint, over the fleet
+    max_connections: int  # at one endpoint, over the fleet
+    endpoint_capacity_per_s: float  # requests that a warm endpoint of weight 1 can serve
+    origin_fetches_per_s: float  # at the origin, over the fleet
+    max_in_flight: float  # requests in flight at one endpoint, over the fleet
+    quota_lease_s: float  # for which proxies lease quotas to each other
+    shares_evidence: bool  # whether proxies send each other evidence on endpoints
+    fleet_name: str
+    gossip_address: tuple[str, int]  # host and port of this proxy for peer messages
+    peer_addresses: list[tuple[str, int]]  # gossip addresses of all proxies, by their numbers
+    snapshot_folder: str
+    max_snapshot_age_s: float  # older snapshots are not used
 
 
 def parse_startup_settings(node: dict[str, Any]) -> StartupSettings:
-    """The `start` section of a configuration, checked; empty where there is none.
+    """Parses and checks the `start` section of a configuration; the result is empty if there is no section.
 
     Raises:
-        ConfigurationError: A field is wrong, or one that it needs is missing.
+        ConfigurationError: A field is not valid, or a required field is missing.
     """
     section = node.get("start")
     settings = node.get("settings") or {}
@@ -70,17 +70,17 @@
     unknown = sorted(set(section) - set(NAMES))
     require("start", unknown, not unknown, "one of " + ", ".join(NAMES))
     proxies = settings.get("balancers") or 1
-    parsed = {ours: section[theirs] for theirs, ours in NAMES.items() if section.get(theirs) is not None}
+    parsed = {name: section[key] for key, name in NAMES.items() if section.get(key) is not None}
     _validate_values(section, proxies)
     parsed.setdefault("max_snapshot_age_s", DEFAULT_SNAPSHOT_AGE_S)
     if "gossip_address" in parsed or "peer_addresses" in parsed:
         _validate_peers(section, proxies)
         parsed["peer_addresses"] = [parse_address(peer) for peer in section["peers"]]
         parsed["gossip_address"] = parse_address(section["speak"])
-    for name in NEED_PEERS:
+    for name in NEED_GOSSIP:
         value = section.get(name)
         valid = "gossip_address" in parsed or value is None
-        require(f"start.{name}", value, valid, "nothing where proxies do not speak")
+        require(f"start.{name}", value, valid, "nothing without start.speak")
     return cast("StartupSettings", parsed)
 
 
@@ -98,24 +98,24 @@
     )
     folder = section.get("snapshot")
     require("start.snapshot", folder, isinstance(folder or "", str), "a folder")
-    require_flag("start.witnesses", section.get("witnesses"))
+    require_boolean("start.witnesses", section.get("witnesses"))
 
 
 def _validate_peers(section: dict[str, Any], proxies: int) -> None:
-    """Checks what proxies need to send each other messages."""
+    """Checks the settings that proxies need to send each other messages."""
     name = section.get("fleet")
-    named = isinstance(name, str) and 0 < len(name) <= MAX_FLEET_NAME_LENGTH
-    require("start.fleet", name, named, "the fleet's name")
+    valid = isinstance(name, str) and 0 < len(name) <= MAX_FLEET_NAME_LENGTH
+    require("start.fleet", name, valid, "the fleet's name")
     watches = section.get("watchesPerS")
-    require("start.watchesPerS", watches, watches is not None, "told where proxies speak")
+    require("start.watchesPerS", watches, watches is not None, "a number, which start.speak needs,")
     peers = section.get("peers")
-    listed = (
+    is_list_of_all = (
         isinstance(peers, list) and len(peers) == proxies and all(isinstance(peer, str) for peer in peers)
     )
     require(
         "start.peers",
         f"{len(peers)} long" if isinstance(peers, list) else peers,
-        listed,
+        is_list_of_all,
         f"a list of {proxies} addresses, by the proxies' numbers,",
     )
     address = section.get("speak")
--- a/calicofall/invariants.py
+++ b/calicofall/invariants.py
@@ -1,23 +1,23 @@
-"""Facts that always hold: asserted in debug builds, counted in release builds (python -O).
+"""Checks of invariants: asserted in debug builds, counted in release builds (`python -O`).
 
-Invariants: checking a fact changes nothing that the program does, but for the counts.
+Invariants: in release builds, a check has no effect on the program other than the counts.
 """
 
 from collections import Counter
 
-violation_counts: Counter[str] = Counter()  # by what did not hold
+violation_counts: Counter[str] = Counter()  # violations by the description of the invariant
 
 
-def check_invariant(fact: bool, what: str) -> None:
-    """Checks a fact.
+def check_invariant(condition: bool, description: str) -> None:
+    """Checks an invariant.
 
     Args:
-        fact: What has to be true.
-        what: The fact in words, under which a violation is counted.
+        condition: Whether the invariant holds.
+        description: The invariant in words; violations are counted by it.
 
     Raises:
-        AssertionError: It does not hold, in a debug build.
+        AssertionError: The invariant does not hold, in a debug build.
     """
-    assert fact, what
-    if not fact:
-        violation_counts[what] += 1
+    assert condition, description
+    if not condition:
+        violation_counts[description] += 1
--- a/calicofall/simulator_adapter/__init__.py
+++ b/calicofall/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The router on the simulator's protocol: many instances in one process, over standard input and output."""
+"""Runs many router instances in one process, over the simulator's protocol on standard input and output."""
--- a/calicofall/simulator_adapter/__main__.py
+++ b/calicofall/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Many instances of the router for the simulator, spoken to over standard input and output."""
+"""Entry point of the simulator adapter, which communicates over standard input and output."""
 
 import sys
 
--- a/calicofall/simulator_adapter/host.py
+++ b/calicofall/simulator_adapter/host.py
@@ -1,6 +1,6 @@
-"""The instances of a simulation: events of the wire go to their routers, decisions back to the wire.
+"""Runs the router instances of a simulation: passes events from the wire to them, and their decisions back.
 
-Invariants: nothing is decided here, and an instance has one timer.
+Invariants: this module makes no routing decisions, and an instance has one timer.
 """
 
 from base64 import b64decode, b64encode
@@ -14,7 +14,7 @@
 from calicofall.routing.request import Request
 from calicofall.routing.router import SLACK, Router
 from calicofall.simulator_adapter.codec import (
-    ANSWER_NOTES,
+    CACHE_STATUSES,
     CLIENT_RETRY,
     HAS_WORK_ESTIMATE,
     LIST_KINDS,
@@ -27,20 +27,20 @@
     parse_message,
 )
 
-TIMER_TOKEN = 0  # the token of the one timer of an instance
+TIMER_TOKEN = 0  # of the only timer of an instance
 
 
 class Proxy:
-    """One instance: a router and its timer.
+    """One router instance and its timer.
 
-    The methods for events take the values of the wire's message in their order.
+    Event handlers take the values of the message on the wire, in their order.
 
     Args:
         number: The number of the instance on the wire.
         seed: The seed of the router.
         settings: The settings, in the form of the operators' file.
         now: The simulated time, in milliseconds.
-        output_lines: The lines that go to the simulator at the end of the batch.
+        output_lines: The lines that are sent to the simulator at the end of the batch.
     """
 
     def __init__(
@@ -55,14 +55,17 @@
         """Sends a message of this instance."""
         self.output_lines.append(encode_message([name, self.number, *values]))
 
-    def send_decision(self, rpc: Request, cache: str | None) -> None:
-        """Sends what was decided for a request: an attempt at an endpoint, or its end."""
-        if cache is not None:
-            self.send_message("PassOn", rpc.id, cache, ms_to_ns(rpc.timeout_ms))
-        elif rpc.answer == "exhausted":
-            self.send_message("NotNow", rpc.id, ms_to_ns(rpc.retry_after_ms))
-        elif rpc.answer == "errored":
-            self.send_message("Surrender", rpc.id)
+    def send_decision(self, request: Request, endpoint: str | None) -> None:
+        """Sends the decision for a request: an attempt at an endpoint, or the end of the request.
+
+        Sends nothing while the request waits.
+        """
+        if endpoint is not None:
+            self.send_message("PassOn", request.id, endpoint, ms_to_ns(request.timeout_ms))
+        elif request.answer == "exhausted":
+            self.send_message("NotNow", request.id, ms_to_ns(request.retry_after_ms))
+        elif request.answer == "errored":
+            self.send_message("Surrender", request.id)
 
     def on_request(  # noqa: PLR0913 - the values of the wire's message
         self,
@@ -76,7 +79,7 @@
         work_ns: int | None,
         key: int | None,
     ) -> None:
-        """A client sends a request."""
+        """Handles a request of a client."""
         write = bool(flags & WRITE)
         is_retry = bool(flags & CLIENT_RETRY)
         request = Request(request_id, method, tenant, key, write, now, expires_at_ns / NS_PER_MS, is_retry)
@@ -93,10 +96,10 @@
         code: int,
         took_ns: int,
         complete: bool,
-        note: int | None,
+        cache_status: int | None,
         load_report: Any,
     ) -> None:
-        """An attempt has ended, or with `complete` the whole answer has come."""
+        """Handles the end of an attempt; with `complete`, the whole answer has arrived."""
         request = self.router.active_requests.get(request_id)
         if request is None or attempt >= len(request.attempts) or request.attempts[attempt].outcome:
             return
@@ -107,7 +110,7 @@
             attempt,
             OUTCOMES.get(code, "error"),
             took_ns / NS_PER_MS,
-            ANSWER_NOTES.get(note or 0),
+            CACHE_STATUSES.get(cache_status or 0),
             load_report,
             complete,
         )
@@ -117,27 +120,27 @@
     def on_response_started(
         self, now: float, request_id: str, _attempt: int, _endpoint: str, _took_ns: int
     ) -> None:
-        """The first bytes of an answer have come, and go on to the client."""
+        """Handles the first bytes of an answer, which the simulator forwards to the client."""
         request = self.router.active_requests.get(request_id)
         if request is not None:
             request.streaming = True
 
     def on_client_disconnected(self, now: float, request_id: str) -> None:
-        """A client has given up: its attempts are cancelled."""
+        """Cancels the attempts of a request whose client has disconnected."""
         request = self.router.active_requests.get(request_id)
         if request is not None:
             for attempt in self.router.on_client_disconnected(now, request):
                 self.send_message("Recall", request_id, attempt)
 
     def on_endpoint_list(
-        self, now: float, kind: int, version: int | None, lines: list[list[Any]] | None
+        self, now: float, kind: int, version: int | None, endpoints: list[list[Any]] | None
     ) -> None:
-        """An endpoint list, changes of it, or word that it could not be had."""
-        entries = [parse_endpoint(line) for line in lines or []]
+        """Handles an endpoint list, changes of the list, or a failure to get it."""
+        entries = [parse_endpoint(values) for values in endpoints or []]
         self.router.on_endpoint_list(now, LIST_KINDS.get(kind, "delta"), version, entries)
 
     def on_timer(self, now: float, _token: int) -> None:
-        """The timer is due."""
+        """Handles the timer: decides again on each request that is due."""
         self.timer_due_at = inf
         while (request := self.router.next_due_request(now)) is not None:
             self.send_decision(request, self.router.route(now, request))
@@ -145,18 +148,18 @@
     def on_health_check_result(
         self, now: float, _endpoint: str, _took_ns: int, _code: int, _load_report: Any
     ) -> None:
-        """Nothing follows: the router sends no health checks."""
+        """Ignores the event, since the router sends no health checks."""
 
     def on_gossip(self, now: float, peer: int, payload: str) -> None:
-        """A message of another instance, in base64; one that is not is dropped, as a damaged datagram is."""
+        """Handles a message of another instance; invalid base64 is dropped like a damaged datagram."""
         try:
             self.router.on_gossip(now, peer, b64decode(payload))
         except ValueError:
             return
 
     def end_batch(self, now: float) -> None:
-        """Ends a batch: what the router logs, its actions, and the timer."""
-        wait = self.router.tick(now)
+        """Ends a batch: sends the router's log lines and actions, and sets the timer."""
+        wait_ms = self.router.tick(now)
         for line in self.router.log_lines:
             self.send_message("Print", line)
         for action in self.router.actions:
@@ -168,12 +171,12 @@
                 self.send_message("MemoTo", action.peer, b64encode(action.message).decode())
         self.router.log_lines.clear()
         self.router.actions.clear()
-        if now + wait < self.timer_due_at - SLACK:
-            self.timer_due_at = now + wait
-            self.send_message("Remind", ms_to_ns(wait), TIMER_TOKEN)
+        if now + wait_ms < self.timer_due_at - SLACK:
+            self.timer_due_at = now + wait_ms
+            self.send_message("Remind", ms_to_ns(wait_ms), TIMER_TOKEN)
 
 
-# The events of the wire.
+# Events on the wire, and their handlers.
 EVENT_HANDLERS: dict[str, Callable[..., None]] = {
     "Knock": Proxy.on_request,
     "Reply": Proxy.on_attempt_ended,
@@ -187,10 +190,10 @@
 
 
 class EventHandler(NamedTuple):
-    """What handles an event of the wire, and how many values it takes besides the instance and the time."""
+    """The handler of an event, and how many values it takes besides the instance and the time."""
 
     method: Callable[..., None]
-    values: int
+    value_count: int
 
 
 HANDLERS = {
@@ -200,25 +203,29 @@
 
 
 class Host:
-    """The instances of a simulation, and the batch of events that is being handled."""
+    """The instances of a simulation, and the current batch of events.
+
+    Args:
+        sink: Where the messages to the simulator are written.
+    """
 
     def __init__(self, sink: BinaryIO) -> None:
         self.sink = sink
         self.now = 0.0  # simulated milliseconds
         self.proxies: dict[int, Proxy] = {}
-        self.proxies_in_batch: dict[int, Proxy] = {}  # instances that have had an event in this batch
+        self.proxies_in_batch: dict[int, Proxy] = {}  # instances with an event in the current batch
         self.output_lines: list[bytes] = []
 
-    def handle(self, number: int, name: str, values: list[Any]) -> None:
+    def handle(self, line_number: int, name: str, values: list[Any]) -> None:
         """Handles one message.
 
         Args:
-            number: The place of its line, for errors.
+            line_number: The number of its line, for errors.
             name: The name of the message.
             values: Its values.
 
         Raises:
-            MalformedMessageError: It is unknown, lacks values, or is for an instance that is not there.
+            MalformedMessageError: The message is unknown, lacks values, or is for an unknown instance.
         """
         if name == "Flush":
             self._end_batch()
@@ -231,9 +238,9 @@
             elif name == "Down":
                 self._end_instance(values[0])
             else:
-                self._handle_event(number, name, values)
+                self._handle_event(line_number, name, values)
         except (IndexError, KeyError, TypeError) as error:
-            raise MalformedMessageError(f"line {number}: {name}: {error!r}") from error
+            raise MalformedMessageError(f"line {line_number}: {name}: {error!r}") from error
 
     def _begin_instance(self, values: list[Any]) -> None:
         number = values[0]
@@ -254,10 +261,10 @@
         if handler is None:
             raise MalformedMessageError(f"line {line_number}: unknown event {name}")
         proxy = self.proxies[number]
-        # Values at the end may be left out, and later versions of the protocol may have more of them.
-        given = values[1 : handler.values + 1] + [None] * (handler.values + 1 - len(values))
+        # Trailing values may be omitted, and later versions of the protocol may add values.
+        arguments = values[1 : handler.value_count + 1] + [None] * (handler.value_count + 1 - len(values))
         self.proxies_in_batch[number] = proxy
-        self._guard(number, handler.method, proxy, self.now, *given)
+        self._guard(number, handler.method, proxy, self.now, *arguments)
 
     def _end_batch(self) -> None:
         for number, proxy in self.proxies_in_batch.items():
@@ -268,16 +275,16 @@
         self.output_lines.clear()
 
     def _guard(self, number: int, call: Callable[..., None], *values: Any) -> None:
-        """Calls an instance; an exception there goes to the simulator in the wire's own message for it."""
+        """Calls an instance; an exception is reported to the simulator in a message of the protocol."""
         try:
             call(*values)
         except Exception as error:
-            reason = f"{type(error).__name__}: {error} at {_place(error)}"
+            reason = f"{type(error).__name__}: {error} at {_location(error)}"
             self.output_lines.append(encode_message(["Exception", number, reason]))
 
 
-def _place(error: Exception) -> str:
-    """The function and line that an exception comes from."""
+def _location(error: Exception) -> str:
+    """Returns the function and the line that raised an exception."""
     trace = error.__traceback__
     while trace and trace.tb_next:
         trace = trace.tb_next
@@ -285,13 +292,13 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Handles the messages of a simulator until it ends.
+    """Handles the messages of a simulator until the end of the input.
 
     Raises:
-        MalformedMessageError: A line is not what the documentation of the protocol says.
+        MalformedMessageError: A line does not conform to the protocol.
     """
     host = Host(sink)
-    for number, line in enumerate(source, 1):
+    for line_number, line in enumerate(source, 1):
         if line.strip():
-            name, *values = parse_message(line, number)
-            host.handle(number, name, values)
+            name, *values = parse_message(line, line_number)
+            host.handle(line_number, name, values)
