--- a/calicofall/startup/contention.py
+++ b/calicofall/startup/contention.py
@@ -9,9 +9,9 @@
 
 The sample size k: if a fraction f of the fleet waits, a sample of one proxy contains none of the waiting
 peers with probability `(1 - f) ** k`, and that proxy then asks immediately. Over the fleet, the expected
-number of such proxies is `proxies * f * (1 - f) ** k`. For large k this is at most `0.37 * proxies / (k +
-1)`. If k is at least `0.74 * proxies / rate - 1`, it stays below half of the watches that the service can
-begin in a second.
+number of such proxies is `proxies * f * (1 - f) ** k`. For large k, its maximum over all f is
+`0.37 * proxies / (k + 1)`. With `k >= 0.74 * proxies / rate - 1`, it stays below half of the watches that the
+service can begin in a second.
 """
 
 from math import ceil
--- a/calicofall/startup/discovery_schedule.py
+++ b/calicofall/startup/discovery_schedule.py
@@ -106,7 +106,13 @@
         return now + self._pause_s * self._random.uniform(JITTER_LOW, JITTER_HIGH)
 
     def retry_at_after_refusal(self, now: float, retry_after_s: float = 0.0) -> float:
-        """When to retry after a refusal (seconds), no earlier than its Retry-After header demands."""
+        """When to retry after a refusal (monotonic clock, in seconds).
+
+        Args:
+            now: The monotonic clock, in seconds.
+            retry_after_s: The refusal's Retry-After header; without time slots, it is limited to the maximum
+                backoff.
+        """
         self._refusals += 1
         if self.time_slots is not None:
             self._slot = self.time_slots.next_slot_at(now + max(retry_after_s, self.time_slots.gap_s / 2))
