--- a/calicofall/recording/replayer.py
+++ b/calicofall/recording/replayer.py
@@ -16,7 +16,7 @@
 from calicofall.recording import events, router_access
 from calicofall.recording.events import Event, RecordedDecision, decode_event
 from calicofall.routing.actions import stored_action
-from calicofall.routing.endpoint import Place
+from calicofall.routing.endpoint import PlacementConstraint
 from calicofall.routing.request import Request
 from calicofall.routing.router import Router
 
@@ -30,19 +30,19 @@
 
     def __init__(self) -> None:
         self._times: deque[float] = deque()
-        self.wishes = self  # unmet demand, which is not counted here
+        self.demand = self  # unmet demand, which is not counted here
 
     def set_times(self, times: Iterable[float]) -> None:
         """Sets the times that the next calls return (s)."""
         self._times = deque(times)
 
-    def due(self, _at: float) -> float:
+    def due_at(self, _at: float) -> float:
         """The next recorded time (s); 0 where the router asks more often than it did."""
         return self._times.popleft() if self._times else 0.0
 
-    take = due
+    take = due_at
 
-    def back(self, _at: float, _slot: float) -> None:
+    def return_slot(self, _at: float, _slot: float) -> None:
         """A slot was not needed: nothing to do."""
 
     def add(self, _at: float) -> None:
@@ -108,7 +108,7 @@
             restore_state(self.router, head["state"])
         self._slots = ReplayedSlots() if head.get("turns") else None
         self.router.origin_slots = self._slots  # type: ignore[assignment]  # answers the same calls
-        self._rankings: dict[tuple[int | None, Place], list[str]] = {}
+        self._rankings: dict[tuple[int | None, PlacementConstraint], list[str]] = {}
         if head.get("veiled"):
             router_access.use_rankings(self.router, self._rankings)
         self._stored: list[Any] = []  # the event that is played, as stored
--- a/calicofall/simulator_adapter/host.py
+++ b/calicofall/simulator_adapter/host.py
@@ -12,7 +12,7 @@
 from calicofall.config.settings import NS_PER_MS, normalize_settings
 from calicofall.routing.actions import CloseConnections, PollEndpointList, SendGossip
 from calicofall.routing.request import Request
-from calicofall.routing.router import SLACK, Router
+from calicofall.routing.router import WAIT_TOLERANCE_MS, Router
 from calicofall.simulator_adapter.codec import (
     CACHE_STATUSES,
     CLIENT_RETRY,
@@ -171,7 +171,7 @@
                 self.send_message("MemoTo", action.peer, b64encode(action.message).decode())
         self.router.log_lines.clear()
         self.router.actions.clear()
-        if now + wait_ms < self.timer_due_at - SLACK:
+        if now + wait_ms < self.timer_due_at - WAIT_TOLERANCE_MS:
             self.timer_due_at = now + wait_ms
             self.send_message("Remind", ms_to_ns(wait_ms), TIMER_TOKEN)
 
--- a/calicofall/startup/connection_quotas.py
+++ b/calicofall/startup/connection_quotas.py
@@ -15,7 +15,7 @@
 from math import inf
 from random import Random
 
-from calicofall.fleet.rate_slots import SLOTS, RateSlots, UnmetDemand
+from calicofall.fleet.rate_slots import SLOTS_PER_PROXY, RateSlots, SlotDemand
 from calicofall.startup.time_slots import TimeSlots
 
 # Fraction of the remaining latency objective that a request may wait for a handshake slot.
@@ -68,7 +68,7 @@
             (capacity_per_s or 0.0) / 1000.0 / self._proxies / (overload_factor or 1.0)
         )
         self.slots_by_endpoint: dict[str, HandshakeSlots] = {}
-        self._demand: dict[str, UnmetDemand] = {}  # handshakes that would be made without a limit
+        self._demand: dict[str, SlotDemand] = {}  # handshakes that would be made without a limit
 
     def take_slot(self, name: str, offset: int, now: float, wall: float, needed: bool = True) -> float:
         """Takes the next handshake slot of an endpoint and returns its time, in seconds.
@@ -87,13 +87,13 @@
             slots = HandshakeSlots(
                 TimeSlots(self._proxy_number, self._proxies, self.handshakes_per_s, now, wall, offset)
             )
-        slot = self.rate_slots.next(
+        slot = self.rate_slots.next_slot_at(
             slots.time_slots, now, max(now, slots.last_taken_at_s + slots.time_slots.gap_s / 2.0)
         )
         slots.last_taken_at_s = slot
         self.slots_by_endpoint[name] = slots
         if needed:
-            self._demand.setdefault(name, UnmetDemand()).add(now)
+            self._demand.setdefault(name, SlotDemand()).add(now)
         return slot
 
     def return_slot(self, name: str, slot: float) -> None:
@@ -105,14 +105,14 @@
     def is_slot_expired(self, name: str, slot: float, now: float) -> bool:
         """Whether a slot must not be used any more: it has expired, or is leased to another proxy now."""
         slots = self.slots_by_endpoint.get(name)
-        return slots is not None and not self.rate_slots.mine(slots.time_slots, slot, now)
+        return slots is not None and not self.rate_slots.may_use(slots.time_slots, slot, now)
 
     def demanded_slots(self, now: float) -> float:
         """Slots of a round that would be used at the busiest endpoint if there were no limit."""
         if self.handshakes_per_s is None:
             return 0.0
-        rate = max((demand.rate(now) for demand in self._demand.values()), default=0.0)
-        return rate * SLOTS * self._proxies / self.handshakes_per_s
+        rate = max((demand.rate_per_s(now) for demand in self._demand.values()), default=0.0)
+        return rate * SLOTS_PER_PROXY * self._proxies / self.handshakes_per_s
 
     def retain_endpoints(self, names: set[str]) -> None:
         """Discards the state of all endpoints except the named ones."""
--- a/calicofall/startup/contention.py
+++ b/calicofall/startup/contention.py
@@ -46,7 +46,7 @@
     def __init__(self, proxy_number: int, proxies: int, rate: float, random: Random) -> None:
         self.proxy_number = proxy_number
         self.proxies = proxies
-        self.chance = random
+        self.random_generator = random
         self._sample_size = sample_size(proxies, rate)
         self.sample_id = 0  # identifies the current sample
         self.sample_ends_at_s = 0.0  # when the current sample ends (monotonic clock)
@@ -56,9 +56,9 @@
 
     def begin_sample(self, now: float) -> tuple[int, list[int]]:
         """Starts a new sample and returns its identifier and the numbers of the peers to ask."""
-        drawn = self.chance.sample(range(self.proxies - 1), self._sample_size)
+        drawn = self.random_generator.sample(range(self.proxies - 1), self._sample_size)
         peers = [number + (number >= self.proxy_number) for number in drawn]
-        self.sample_id = self.chance.getrandbits(48)
+        self.sample_id = self.random_generator.getrandbits(48)
         self.sample_ends_at_s = now + ANSWER_TIMEOUT_S
         self._unanswered = set(peers)
         self._with_watch = 0
--- a/calicofall/startup/peer_messages.py
+++ b/calicofall/startup/peer_messages.py
@@ -27,7 +27,7 @@
 DIGEST_BYTES = 8
 NAME_DIGEST_BYTES = 6
 
-Say = AgreementMessage  # an alias that has no uses in this repository
+ConfigurationMessage = AgreementMessage  # an alias that has no uses in this repository
 
 
 class InvalidMessageError(Exception):
@@ -43,7 +43,7 @@
     asks: bool  # whether this is a request; otherwise an answer
     sender: int  # the number of the proxy that sends it
     life: int  # the incarnation of the sender
-    mark: int  # the identifier of the sample that the request belongs to
+    correlation_id: int  # the identifier of the sample that the request belongs to
     has_watch: bool  # whether the sender has a live watch
 
 
@@ -107,7 +107,7 @@
     if not _has_valid_fields(message) or message.sender >= proxies:
         raise InvalidMessageError("form")
     if isinstance(message, MembershipProbe):
-        return message._replace(rumours=tuple(message.rumours))
+        return message._replace(suspicions=tuple(message.suspicions))
     decoded: PeerMessage = message
     return decoded
 
--- a/calicofall/testbed/history.py
+++ b/calicofall/testbed/history.py
@@ -128,7 +128,7 @@
         told: Events of the endpoint list written to proxies.
         tries: Attempts of clients.
         answers: Ends of attempts of clients.
-        lives: Starts, signals and exits of proxies' processes.
+        process_events: Starts, signals and exits of proxies' processes.
         asked: Watches requested of the emulated discovery service.
         published: Published versions of the settings.
         attempts: Canaries.
@@ -156,7 +156,7 @@
     told: list[ListEvent] = field(default_factory=list)
     tries: list[ClientAttempt] = field(default_factory=list)
     answers: list[ClientAnswer] = field(default_factory=list)
-    lives: list[ProcessEvent] = field(default_factory=list)
+    process_events: list[ProcessEvent] = field(default_factory=list)
     asked: list[DiscoveryCall] = field(default_factory=list)
     published: list[PublishedVersion] = field(default_factory=list)
     attempts: list[CanaryEvent] = field(default_factory=list)
--- a/calicofall/testbed/hot_key_simulation.py
+++ b/calicofall/testbed/hot_key_simulation.py
@@ -41,16 +41,18 @@
         for node in self.fleet:
             self.begin(node)
 
-    def build(self, node: SimulatedNode, incarnation: int, chance: Random) -> HotKeyDetector:
+    def build(self, node: SimulatedNode, incarnation: int, random_generator: Random) -> HotKeyDetector:
         """A new instance for a node, which begins to see requests."""
-        self.at(self.now, self.arrive, node, node.life)
+        self.at(self.now, self.arrive, node, node.incarnation)
         capacity = self.endpoint_capacity_per_s
-        return self.make(node.me, incarnation, len(self.fleet), capacity, node.clock(self.now), chance)
+        return self.make(
+            node.me, incarnation, len(self.fleet), capacity, node.clock(self.now), random_generator
+        )
 
     def deliver(self, node: SimulatedNode, message: KeyCountMessage) -> None:
         """Hands a message to a node's instance, and sends its answer."""
         instance: HotKeyDetector = node.instance
-        answer = instance.heard(node.clock(self.now), message)
+        answer = instance.on_message(node.clock(self.now), message)
         if answer is not None:
             self.send(node.me, message.sender, answer)
 
@@ -59,7 +61,7 @@
         instance: HotKeyDetector = node.instance
         others = [other for other in range(len(self.fleet)) if other != node.me]
         out = instance.wake(node.clock(self.now), others)
-        for key in instance.keys:
+        for key in instance.hot_keys:
             self.first_found_at.setdefault(key, {}).setdefault(node.me, self.now)
         return out
 
@@ -68,14 +70,14 @@
         if not self.alive(node, incarnation, self.arrive, node, incarnation):
             return
         instance: HotKeyDetector = node.instance
-        instance.saw(node.clock(self.now), self.draw_key())
-        self.at(self.now + self.chance.expovariate(self.rate), self.arrive, node, incarnation)
+        instance.record_request(node.clock(self.now), self.draw_key())
+        self.at(self.now + self.random_generator.expovariate(self.rate), self.arrive, node, incarnation)
 
     def draw_key(self) -> int:
         """A key by the fractions, or one that comes once."""
         self.last_unique_key += 1
         cumulative = accumulate(self.key_fractions.values())
-        draw = self.chance.random()
+        draw = self.random_generator.random()
         for key, bound in zip(self.key_fractions, cumulative, strict=True):
             if draw < bound:
                 return key
@@ -84,4 +86,4 @@
     def finding_fraction(self, key: int) -> float:
         """The fraction of the proxies that hold a key to be hot now."""
         instances: list[HotKeyDetector] = [node.instance for node in self.fleet]
-        return sum(key in instance.keys for instance in instances) / len(instances)
+        return sum(key in instance.hot_keys for instance in instances) / len(instances)
--- a/tests/test_routing_components.py
+++ b/tests/test_routing_components.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from helpers import fleet, rpc_for
+from helpers import deployment_settings, make_request
 
 from calicofall.routing.actions import (
     Action,
@@ -19,7 +19,7 @@
 )
 from calicofall.routing.cached_keys import FetchLikelihood, KeyRequestCounts, RecentlyCachedKeys
 from calicofall.routing.decisions import Fail, Reject
-from calicofall.routing.endpoint import ANY_PLACE, Endpoint
+from calicofall.routing.endpoint import UNCONSTRAINED, Endpoint
 from calicofall.routing.endpoint_table import EndpointTable
 from calicofall.routing.latency import LatencyBaselines, ZoneLatency
 from calicofall.routing.list_polling import ListPolling
@@ -27,9 +27,9 @@
 from calicofall.routing.request import Attempt, AttemptOutcome, RetrySafety
 from calicofall.routing.retry_policy import RetryPolicy, is_repeat_safe
 from calicofall.routing.settings import Deployment, MethodSettings, RoutingSettings
-from calicofall.routing.tenant_quota import BURST_REQUESTS, TenantQuotas, shares_of
+from calicofall.routing.tenant_quota import BURST_REQUESTS, TenantQuotas, quota_shares
 
-READ, SAVE, ORDER = (MethodSettings.of(method) for method in fleet()["methods"])
+READ, SAVE, ORDER = (MethodSettings.of(method) for method in deployment_settings()["methods"])
 
 
 def entry(name: str, state: str = "ready", started: float = 0.0, zone: str = "a") -> tuple[Any, ...]:
@@ -39,7 +39,7 @@
 
 def table_of(**rules: Any) -> EndpointTable:
     """An empty endpoint table."""
-    deployment = fleet()
+    deployment = deployment_settings()
     deployment["rules"] |= rules
     return EndpointTable(RoutingSettings(deployment), Deployment(deployment))
 
@@ -79,12 +79,12 @@
 
 
 def test_list_polling_after_failures_backs_off_and_logs_once() -> None:
-    outbox, chance = Outbox(), Random(1)
+    outbox, random_generator = Outbox(), Random(1)
     polling = ListPolling(0.0, True, outbox)
 
     waits = []
     for _ in range(6):
-        polling.on_failure(0.0, chance)
+        polling.on_failure(0.0, random_generator)
         waits.append(polling.wait_ms(0.0))
 
     for wait, backoff in zip(waits, (250.0, 500.0, 1000.0, 2000.0, 4000.0, 4000.0), strict=True):
@@ -115,7 +115,7 @@
 
 
 def test_tenant_quota_beyond_its_burst_refuses_until_tokens_come_back() -> None:
-    quotas = TenantQuotas(0.0, {"a": 0.01}, Deployment(fleet()), Random(1))
+    quotas = TenantQuotas(0.0, {"a": 0.01}, Deployment(deployment_settings()), Random(1))
     quotas.buckets["a"][0] = 2.0
 
     assert [quotas.admit(0.0, "a") for _ in range(3)] == [True, True, False]
@@ -133,16 +133,16 @@
 def test_tenant_quota_without_a_bucket_admits_all_but_those_of_zero(
     tenant: str | None, admitted: bool
 ) -> None:
-    quotas = TenantQuotas(0.0, {"zero": 0.0}, Deployment(fleet()), Random(1))
+    quotas = TenantQuotas(0.0, {"zero": 0.0}, Deployment(deployment_settings()), Random(1))
 
     assert quotas.admit(0.0, tenant) is admitted
 
 
 def test_tenant_quota_apply_settings_keeps_buckets_and_starts_new_ones_empty() -> None:
-    quotas = TenantQuotas(0.0, {"a": 0.01}, Deployment(fleet()), Random(1))
+    quotas = TenantQuotas(0.0, {"a": 0.01}, Deployment(deployment_settings()), Random(1))
     quotas.buckets["a"] = [BURST_REQUESTS, 0.0]
 
-    quotas.apply_settings(500.0, shares_of([{"name": "a", "quota": 10.0}, {"name": "b"}], 2))
+    quotas.apply_settings(500.0, quota_shares([{"name": "a", "quota": 10.0}, {"name": "b"}], 2))
 
     assert quotas.rates == {"a": 0.005, "b": 0.0}
     assert quotas.buckets == {"a": [BURST_REQUESTS, 0.0], "b": [0.0, 500.0]}
@@ -206,17 +206,17 @@
         for _ in range(16):
             baselines.add(now, "read", latency)
 
-    assert baselines.of("read") is None
+    assert baselines.baseline_ms("read") is None
     baselines.update(9000.0, 500.0)
-    assert baselines.of("read") == 40.0
+    assert baselines.baseline_ms("read") == 40.0
     baselines.update(500_000.0, 500.0)
-    assert baselines.of("read") == 40.0
-    assert baselines.known() == {"read": 40.0}
+    assert baselines.baseline_ms("read") == 40.0
+    assert baselines.measured() == {"read": 40.0}
 
 
 def test_latency_baselines_apply_methods_forgets_those_that_are_gone() -> None:
     baselines = LatencyBaselines(["read", "save"], 500.0)
-    baselines.alias("read", "read-1")
+    baselines.add_alias("read", "read-1")
 
     baselines.apply_methods(["read-1", "order"])
 
@@ -246,7 +246,7 @@
 def test_endpoint_table_full_list_removes_what_it_does_not_name() -> None:
     table = table_of()
     table.apply_list(0.0, False, [entry("c1"), entry("c2")])
-    table.caches["c2"].held = 1  # a request is in flight there
+    table.caches["c2"].in_flight = 1  # a request is in flight there
 
     table.apply_list(10.0, False, [entry("c3")])
 
@@ -273,7 +273,7 @@
 
     placement.refresh(0.0, endpoints[:-1], {one.name: 1.0 for one in endpoints[:-1]})
 
-    moved = {key for key, owner in before.items() if placement.rank(key, ANY_PLACE)[0].name != owner}
+    moved = {key for key, owner in before.items() if placement.rank(key, UNCONSTRAINED)[0].name != owner}
     assert moved == {key for key, owner in before.items() if owner == "c5"}
 
 
@@ -282,7 +282,11 @@
     endpoint.degrade(1000.0, 1 / 4, 1 / 4)
 
     assert endpoint.ejected
-    assert [endpoint.trickle(1000.0 + after) for after in (0.0, 5000.0, 10_000.0)] == [0.25, 0.5, 1.0]
+    assert [endpoint.current_fraction(1000.0 + after) for after in (0.0, 5000.0, 10_000.0)] == [
+        0.25,
+        0.5,
+        1.0,
+    ]
 
 
 # Retries
@@ -318,9 +322,9 @@
 def test_give_up_rejects_only_where_a_repeat_is_harmless(
     method: MethodSettings, outcome: AttemptOutcome, decision: type[Reject | Fail]
 ) -> None:
-    settings = RoutingSettings(fleet())
+    settings = RoutingSettings(deployment_settings())
     retries = RetryPolicy(settings, LatencyBaselines([], 500.0), 1, Random(1))
-    request = rpc_for("read")
+    request = make_request("read")
     request.attempts.append(Attempt("c1", 0.0, outcome=outcome))
 
     given_up = retries.give_up(request, method, Random(2))
