--- a/calicofall/proxy/gossip_transport.py
+++ b/calicofall/proxy/gossip_transport.py
@@ -203,7 +203,7 @@
         self.list_freshness.on_message(now, digest)
 
     def _on_startup_message(self, message: peer_messages.StartupMessage) -> None:
-        if message.asks:
+        if message.is_request:
             self.send(message.sender, self._startup_message(False, message.correlation_id))
         elif self.contention.count_answer(message.correlation_id, message.sender, message.has_watch):
             self.finish_estimate()
--- a/calicofall/startup/peer_messages.py
+++ b/calicofall/startup/peer_messages.py
@@ -40,9 +40,9 @@
 class StartupMessage(NamedTuple):
     """Asks a peer whether it has a live watch at the discovery service, or answers such a request."""
 
-    asks: bool  # whether this is a request; otherwise an answer
+    is_request: bool  # whether this is a request; otherwise an answer
     sender: int  # the number of the proxy that sends it
-    life: int  # the incarnation of the sender
+    incarnation: int  # of the sender
     correlation_id: int  # the identifier of the sample that the request belongs to
     has_watch: bool  # whether the sender has a live watch
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,6 +1,6 @@
-"""Every request gets one answer in time, whatever a large fleet is told and whatever becomes of connections.
+"""Each request gets one answer in time, whatever happens to the endpoint list and to connections.
 
-Endpoint lists and connections are scripted, on a loop with simulated time: no clock and no network.
+Endpoint lists and connections are scripted on a loop with simulated time, without a clock and a network.
 """
 
 from collections import Counter
@@ -20,65 +20,65 @@
 
 
 def endpoints(first: int, last: int) -> list[dict]:
-    """Entries of a list, from number `first` up to, but without, `last`."""
+    """Returns the list entries from number `first` up to, but excluding, `last`."""
     return [
         endpoint(f"c{number}", address=f"10.1.{number // 200}.{number % 200 + 1}:6379")
         for number in range(first, last)
     ]
 
 
-def tell_list(harness: ProxyHarness, version: int, entries: list[dict]) -> None:
+def send_list(harness: ProxyHarness, version: int, entries: list[dict]) -> None:
     harness.proxy.on_list_event(
         *parse_endpoint_list({"index": version, "snapshot": True, "endpoints": entries})
     )
 
 
-def tell_changes(harness: ProxyHarness, version: int, entries: list[dict]) -> None:
+def send_changes(harness: ProxyHarness, version: int, entries: list[dict]) -> None:
     harness.proxy.on_list_event(
         *parse_endpoint_list({"index": version, "snapshot": False, "endpoints": entries})
     )
 
 
-# What the discovery service tells
+# Behaviour of the discovery service
 
 
-def list_empty_for_a_while(harness: ProxyHarness, step: int) -> None:
+def list_empty_temporarily(harness: ProxyHarness, step: int) -> None:
     if step == 200:
-        tell_list(harness, 2, [])
+        send_list(harness, 2, [])
     elif step == 400:
-        tell_list(harness, 3, endpoints(1, 61))
+        send_list(harness, 3, endpoints(1, 61))
 
 
 def fleet_triples(harness: ProxyHarness, step: int) -> None:
     if step == 200:
-        tell_list(harness, 2, endpoints(1, 181))
+        send_list(harness, 2, endpoints(1, 181))
 
 
-def drains_without_end(harness: ProxyHarness, step: int) -> None:
-    """Endpoints that drain and are never deleted, and entries that lack most fields."""
+def drains_without_deletion(harness: ProxyHarness, step: int) -> None:
+    """Endpoints that drain but are never deleted, and entries without most fields."""
     if step % 100 == 50:
         draining = endpoint(f"c{step // 100 + 1}", "DRAINING")
-        tell_changes(harness, step, [draining, {"name": f"x{step}"}])
+        send_changes(harness, step, [draining, {"name": f"x{step}"}])
 
 
-def addresses_used_again(harness: ProxyHarness, step: int) -> None:
-    """An endpoint goes, and another one comes up at its address."""
+def addresses_reused(harness: ProxyHarness, step: int) -> None:
+    """An endpoint is deleted, and another one starts at its address."""
     if step % 100 == 50:
         number = step // 100 + 1
         new = endpoint(f"n{number}", address=f"10.1.0.{number + 1}:6379")
         deleted = endpoint(f"c{number}", "DELETED")
-        tell_changes(harness, step, [deleted, new | {"since_ms": harness.proxy.now_ms()}])
+        send_changes(harness, step, [deleted, new | {"since_ms": harness.proxy.now_ms()}])
 
 
-def nothing_told(_desk: ProxyHarness, _step: int) -> None:
-    """The first list holds for the whole minute."""
+def list_unchanged(_harness: ProxyHarness, _step: int) -> None:
+    """The first list stays valid for the whole run."""
 
 
-# What becomes of connections
+# Behaviour of connections
 
 
 class AnsweringEndpoint(FakeTransport):
-    """An endpoint that answers each command after a while."""
+    """An endpoint that answers each command after a delay."""
 
     def __init__(self, harness: ProxyHarness, stream: object, random: Random) -> None:
         self.harness = harness
@@ -102,16 +102,16 @@
     harness.loop.call_later(0.0005, stream.abort)
 
 
-def never_connects(_desk: ProxyHarness, _stream: object, _random: Random) -> None:
-    """A connection that never comes up."""
+def never_connects(_harness: ProxyHarness, _stream: object, _random: Random) -> None:
+    """A connection that is never established."""
 
 
-def any_of_these(harness: ProxyHarness, stream: object, random: Random) -> None:
+def random_behaviour(harness: ProxyHarness, stream: object, random: Random) -> None:
     random.choice([refused, never_connects, connects])(harness, stream, random)
 
 
 def take_answer(client: FakeTransport) -> str:
-    """What a client got, which has to be one answer: a value or a rejection."""
+    """Takes the one answer that a client received; returns whether it is a value or a rejection."""
     is_value = client.sent.startswith(b"$")
     assert client.sent.count(b"\r\n") == (2 if is_value else 1)
     client.take()
@@ -128,49 +128,49 @@
     ],
 )
 @pytest.mark.parametrize(
-    ("news", "connection"),
+    ("list_behaviour", "connection"),
     [
-        (list_empty_for_a_while, connects),
+        (list_empty_temporarily, connects),
         (fleet_triples, connects),
-        (drains_without_end, connects),
-        (addresses_used_again, connects),
-        (nothing_told, connects),
-        (nothing_told, refused),
-        (nothing_told, never_connects),
-        (fleet_triples, any_of_these),
+        (drains_without_deletion, connects),
+        (addresses_reused, connects),
+        (list_unchanged, connects),
+        (list_unchanged, refused),
+        (list_unchanged, never_connects),
+        (fleet_triples, random_behaviour),
     ],
     ids=lambda call: call.__name__,
 )
-def test_requests_are_answered_once_in_time_whatever_is_told(
-    proxies: int, caches: int, quotas: bool, news: Callable, connection: Callable
+def test_requests_are_answered_once_in_time_with_any_list_and_connections(
+    proxies: int, caches: int, quotas: bool, list_behaviour: Callable, connection: Callable
 ) -> None:
     random = Random(3)
     settings = {"balancers": proxies} if quotas else {"balancers": proxies, "realms": []}
     harness = ProxyHarness(0, MAX_DESCRIPTORS, **settings)
-    harness.proxy.upstreams.open_connection = lambda _loop, stream, _place, _patience: connection(
+    harness.proxy.upstreams.open_connection = lambda _loop, stream, _address, _timeout_s: connection(
         harness, stream, random
     )
-    harness.proxy.discovery.open_connection = lambda _loop, stream, _place, _patience: None
+    harness.proxy.discovery.open_connection = lambda _loop, stream, _address, _timeout_s: None
     harness.proxy.discovery.start()
-    tell_list(harness, 1, endpoints(1, caches + 1))
+    send_list(harness, 1, endpoints(1, caches + 1))
     clients = [harness.client() for _ in range(20)]
     answer_due = {}
     keys = count()
     answers = Counter()
     calls_before = harness.loop.scheduled_count
     for step in range(STEPS):
-        news(harness, step)
+        list_behaviour(harness, step)
         for client in clients:
             if client.sent:
                 assert harness.loop.time() <= answer_due.pop(client) + 0.05
                 answers[take_answer(client)] += 1
-        free = [client for client in clients if client not in answer_due]
-        if free and step < LAST_REQUEST_STEP:
-            client = random.choice(free)
-            patience_ms = random.randrange(80, 400)
+        idle_clients = [client for client in clients if client not in answer_due]
+        if idle_clients and step < LAST_REQUEST_STEP:
+            client = random.choice(idle_clients)
+            remaining_ms = random.randrange(80, 400)
             method = random.choice(["read", "read", "save"])
-            client.feed(encode_request(method, next(keys) % 50, str(patience_ms)))
-            answer_due[client] = harness.loop.time() + patience_ms / 1000.0
+            client.feed(encode_request(method, next(keys) % 50, str(remaining_ms)))
+            answer_due[client] = harness.loop.time() + remaining_ms / 1000.0
         harness.loop.advance(STEP_S)
         assert (
             harness.proxy.upstreams.connection_count() + len(harness.proxy.clients.connections)
@@ -181,7 +181,7 @@
     assert not harness.proxy.router.active_requests
     assert harness.loop.scheduled_count - calls_before < 60_000  # the loop does not spin
     if connection is connects and caches > 1:
-        if news is list_empty_for_a_while:
+        if list_behaviour is list_empty_temporarily:
             assert answers["value"] > answers["rejected"]
         else:
             assert answers["value"] > 4 * answers["rejected"]
