--- a/calicofall/proxy/buffers.py
+++ b/calicofall/proxy/buffers.py
@@ -1,7 +1,7 @@
-"""The bytes of a connection: a ring buffer for input, a queue of chunks for output.
+"""Buffers of a connection: a ring buffer for input and a queue of chunks for output.
 
-Invariants: neither holds more than its bound; a view that was handed out is not moved before the next call;
-large chunks of output are not copied.
+Invariants: neither buffer holds more than its maximum; a memory view that was returned stays valid until the
+next call; large chunks of output are not copied.
 """
 
 from collections import deque
@@ -13,7 +13,7 @@
 
 
 class RingBuffer:
-    """Input that has not been read yet; its memory doubles as needed, and shrinks once it is empty."""
+    """Input that has not been parsed yet; its memory doubles on demand and shrinks when it becomes empty."""
 
     __slots__ = ("memory", "view", "offset", "length", "max_bytes")
 
@@ -27,10 +27,10 @@
         return self.length
 
     def free_space(self) -> memoryview:
-        """Where the next bytes go, never empty; `commit` says how many came.
+        """Returns the memory for the next bytes, never empty; the caller passes their number to `commit`.
 
         Raises:
-            BufferError: The buffer is full and at its bound.
+            BufferError: The buffer is full and has its maximum size.
         """
         capacity = len(self.memory)
         if self.length == capacity:
@@ -42,15 +42,15 @@
         return self.view[end : self.offset if end < self.offset else capacity]
 
     def commit(self, count: int) -> None:
-        """Takes the first `count` bytes of the free space as read."""
+        """Adds the first `count` bytes of the free space to the buffer's content."""
         self.length += count
-        check_invariant(self.length <= len(self.memory), "a buffer holds no more than it has room for")
+        check_invariant(self.length <= len(self.memory), "a ring buffer's length is within its capacity")
 
     def reserve(self, count: int) -> None:
-        """Makes room for a value of `count` bytes, so that it is read in few pieces.
+        """Allocates memory for a value of `count` bytes, so that few reads from the socket receive it.
 
         Raises:
-            BufferError: That is over the bound.
+            BufferError: `count` is greater than the maximum size.
         """
         if count > len(self.memory):
             self._grow(count, exactly=True)
@@ -59,7 +59,7 @@
         """Appends bytes.
 
         Raises:
-            BufferError: That is over the bound.
+            BufferError: The content would exceed the maximum size.
         """
         if self.length + len(data) > len(self.memory):
             self._grow(self.length + len(data))
@@ -72,7 +72,7 @@
             written += count
 
     def peek(self, count: int, skip: int = 0) -> bytes:
-        """A copy of up to `count` bytes from `skip` on, which stay."""
+        """Returns a copy of up to `count` bytes after the first `skip` bytes, without removing them."""
         count = min(count, self.length - skip)
         capacity = len(self.memory)
         begin = (self.offset + skip) % capacity
@@ -94,7 +94,7 @@
         return data
 
     def find(self, byte: int, skip: int = 0) -> int:
-        """The distance of the first such byte from `skip` on; -1 if there is none."""
+        """Returns the index of the first `byte` at or after index `skip`, or -1 if there is none."""
         capacity = len(self.memory)
         end = self.offset + self.length
         begin = self.offset + skip
@@ -120,15 +120,17 @@
         while capacity < needed:
             capacity *= 2
         if capacity > self.max_bytes:
-            raise BufferError("ring buffer over its bound")
-        held = self.peek(self.length)
+            raise BufferError(
+                f"ring buffer: a capacity of {capacity} bytes exceeds the maximum of {self.max_bytes} bytes"
+            )
+        content = self.peek(self.length)
         self._allocate(capacity)
-        self.view[: len(held)] = held
-        self.length = len(held)
+        self.view[: len(content)] = content
+        self.length = len(content)
 
 
 class OutputQueue:
-    """Output that the transport has not taken yet, in the chunks in which it was written."""
+    """Output that the transport has not accepted yet, in the chunks in which it was written."""
 
     __slots__ = ("chunks", "length", "max_bytes")
 
@@ -144,24 +146,26 @@
         """Appends a chunk.
 
         Raises:
-            BufferError: That is over the bound.
+            BufferError: The queue would exceed its maximum size.
         """
         if self.length + len(data) > self.max_bytes:
-            raise BufferError("pieces over their bound")
+            raise BufferError(
+                f"output queue: {self.length + len(data)} bytes exceed the maximum of {self.max_bytes} bytes"
+            )
         if len(data):
             self.chunks.append(memoryview(data))
             self.length += len(data)
 
     def take(self, max_count: int) -> memoryview | bytes:
-        """Removes up to `max_count` bytes: a part of one chunk, or several small ones joined."""
+        """Removes and returns up to `max_count` bytes: part of one chunk, or several small chunks joined."""
         taken: list[memoryview] = []
         remaining = max_count
         while self.chunks and remaining:
-            first = self.chunks.popleft()
-            if len(first) > remaining:
-                self.chunks.appendleft(first[remaining:])
-                first = first[:remaining]
-            taken.append(first)
-            remaining -= len(first)
+            chunk = self.chunks.popleft()
+            if len(chunk) > remaining:
+                self.chunks.appendleft(chunk[remaining:])
+                chunk = chunk[:remaining]
+            taken.append(chunk)
+            remaining -= len(chunk)
         self.length -= max_count - remaining
         return taken[0] if len(taken) == 1 else b"".join(taken)
--- a/calicofall/proxy/client_connection.py
+++ b/calicofall/proxy/client_connection.py
@@ -1,7 +1,7 @@
-"""One client's connection: commands in, replies out in the order of the commands.
+"""The connection of one client: reads commands and writes the replies in the order of the commands.
 
-Invariants: a command gets one reply; a client that doesn't read, or sends commands that can't be carried out
-without end, is cut off. What becomes of a request is the proxy's to say.
+Invariants: each command gets one reply; a client that does not read, or that keeps sending invalid commands,
+is disconnected. The proxy processes the requests.
 """
 
 import asyncio
@@ -21,11 +21,11 @@
     from calicofall.proxy.clients import ClientConnections
 
 MAX_PIPELINED_COMMANDS = 16
-MAX_CONSECUTIVE_ERRORS = 8  # commands that can't be carried out, one after the other
+MAX_CONSECUTIVE_ERRORS = 8  # invalid commands in a row, after which the connection is closed
 
 
 class PendingReply:
-    """The place of a reply in its connection's order, until the reply is written."""
+    """A reply that is due on a connection; it keeps its position in the order until it is written."""
 
     __slots__ = (
         "client",
@@ -41,36 +41,34 @@
         self.client = client
         self.buffered_bytes = command_bytes  # memory of the command, and of the answer until it is written
         self.answer: bytes | None = None
-        self.active_request: Any = None  # the proxy's
-        self.value_size = -1  # of a value that is streamed
-        self.head_sent = False  # of a value that is streamed
-        self.request_next_chunk: Callable[[], None] | None = (
-            None  # asks for the next piece of a streamed value
-        )
+        self.active_request: Any = None  # the proxy's state of the request
+        self.value_size = -1  # of a streamed value
+        self.head_sent = False  # whether the head of a streamed value was written
+        self.request_next_chunk: Callable[[], None] | None = None  # requests more of a streamed value
 
     def complete(self, answer: bytes) -> None:
-        """Gives the whole reply, as RESP2."""
+        """Sets the complete reply, encoded as RESP2."""
         self.answer = answer
         self.buffered_bytes += len(answer)
         self.client.clients.buffered_bytes += len(answer)
         self.client.write_ready_replies()
 
     def start_streaming(self, size: int, request_next_chunk: Callable[[], None]) -> None:
-        """Announces a value of `size` bytes in pieces; `request_next_chunk` is called when one may come."""
+        """Starts a streamed value of `size` bytes; `request_next_chunk` is called for each chunk."""
         self.value_size = size
         self.request_next_chunk = request_next_chunk
         self.client.write_ready_replies()
 
     def can_accept_chunk(self) -> bool:
-        """Whether the next piece may come: it is this reply's turn, and the client takes it."""
+        """Whether this reply is the next in the order and the client accepts output."""
         return self.head_sent and not self.client.write_paused
 
     def write_chunk(self, data: bytes) -> None:
-        """Writes the next piece of a streamed value."""
+        """Writes the next chunk of a streamed value."""
         self.client.write(data)
 
     def abort(self) -> None:
-        """Ends a value that won't come whole: the end of the connection tells the client."""
+        """Aborts the connection, which tells the client that a streamed value is incomplete."""
         self.client.abort()
 
 
@@ -83,43 +81,43 @@
         self.parser = CommandParser(self.input)
         self.replies: deque[PendingReply] = deque()
         self.reading_paused = False
-        self.ignores_input = False  # framing is lost, or the client has said QUIT
+        self.ignores_input = False  # after invalid framing, too many invalid commands, or QUIT
         self.consecutive_errors = 0
-        self.partial_command_bytes = 0  # memory for a command that has begun and not ended
-        self.partial_progress_at = 0.0  # when more of it came last
+        self.partial_command_bytes = 0  # memory of an incomplete command
+        self.partial_progress_at = 0.0  # when more of it was last received (s, the loop's clock)
         self.stall_timer: asyncio.TimerHandle | None = None
 
     def on_data(self) -> None:
-        """Carries out the commands that have come whole, as far as replies and memory allow."""
+        """Processes the complete commands, as far as the replies due and the memory allow."""
         self.clients.on_first_byte(self)
         self._read_commands()
         if self.ignores_input:
             self.input.drop(len(self.input))
         if self.closed or self.closing:
             return
-        pause = self.ignores_input or self._must_pause_reading()
-        if pause != self.reading_paused:
-            self.reading_paused = pause
-            if pause:
+        must_pause = self.ignores_input or self._must_pause_reading()
+        if must_pause != self.reading_paused:
+            self.reading_paused = must_pause
+            if must_pause:
                 self.transport.pause_reading()
             else:
                 self.transport.resume_reading()
 
     def reject_further_input(self, reason: str) -> None:
-        """Reads nothing more, and closes once the client has been told why."""
+        """Sends the client an error, reads no more input, and closes after the reply."""
         if not self.ignores_input:
             self.ignores_input = True
             self._add_reply(0).complete(resp.encode_error(f"ERR {reason}"))
 
     def reject_command(self, reply: PendingReply, reason: str) -> None:
-        """Answers a command that can't be carried out; too many in a row end the connection."""
+        """Answers an invalid command with an error; too many in a row close the connection."""
         self.consecutive_errors += 1
         if self.consecutive_errors >= MAX_CONSECUTIVE_ERRORS:
             self.ignores_input = True
         reply.complete(resp.encode_error(f"ERR {reason}"))
 
     def write_ready_replies(self) -> None:
-        """Writes the replies whose turn has come, and goes on reading if that was held up by them."""
+        """Writes the replies that are next in the order, and resumes reading if it was paused for them."""
         while self.replies and not self.write_paused:
             answer = self.replies[0].answer
             if answer is None:
@@ -135,12 +133,12 @@
             self.clients.loop.call_soon(self.on_data)
 
     def pause_writing(self) -> None:
-        """The client takes no more for now; part of asyncio's protocol."""
+        """The client accepts no output for now; part of asyncio's protocol."""
         super().pause_writing()
         self.check_stall()
 
     def resume_writing(self) -> None:
-        """The client takes more; part of asyncio's protocol."""
+        """The client accepts output again; part of asyncio's protocol."""
         if self.stall_timer is not None:
             self.stall_timer.cancel()
             self.stall_timer = None
@@ -148,7 +146,7 @@
         self.write_ready_replies()
 
     def check_stall(self, unsent_before: int = -1) -> None:
-        """Cuts off a client that has taken nothing since the last check; else checks again later."""
+        """Disconnects a client that has accepted nothing since the last check; else schedules a new check."""
         unsent = self.unsent_kernel_bytes()
         if unsent_before >= 0 and unsent >= unsent_before:
             self.abort()
@@ -158,30 +156,36 @@
         )
 
     def unsent_kernel_bytes(self) -> int:
-        """Bytes that the system holds for the client; the transport tells of its room in large steps only."""
-        plain_socket = self.transport.get_extra_info("socket")
-        if not plain_socket:
+        """Returns the number of bytes in the kernel's send buffer.
+
+        The transport's callbacks report a change of its buffer only in large steps.
+        """
+        raw_socket = self.transport.get_extra_info("socket")
+        if not raw_socket:
             return 0
         try:
-            unsent = ioctl(plain_socket.fileno(), TIOCOUTQ, bytes(4))
+            unsent = ioctl(raw_socket.fileno(), TIOCOUTQ, bytes(4))
         except OSError:
             return 0
         return int.from_bytes(unsent, sys.byteorder)
 
     def close(self) -> None:
-        """Closes behind the last byte."""
+        """Closes after the last byte has been sent."""
         if not (self.closing or self.closed):
             self.clients.on_closing(self)
             super().close()
 
     def detect_disconnect(self) -> bool:
-        """Whether the client has closed, also while reading is paused, which hides its end."""
+        """Whether the connection is closed; detects a client's close also while reading is paused.
+
+        A transport whose reading is paused does not report the end of its input.
+        """
         if self.reading_paused and not self.closed and self.peer_has_closed():
             self.abort()
         return self.closed
 
     def on_close(self) -> None:
-        """The connection is over: requests of replies that are still owed are called off."""
+        """The connection is closed: the requests whose replies are still due are cancelled."""
         if self.stall_timer is not None:
             self.stall_timer.cancel()
         self.clients.remove_client(self)
@@ -207,7 +211,7 @@
             self._handle_command(command)
 
     def _must_pause_reading(self) -> bool:
-        """Whether the replies owed, or the memory of all clients, allow no further command."""
+        """Whether the replies due, or the memory used by all clients, allow no further command."""
         has_memory = self.clients.buffered_bytes < self.clients.read_ahead_bytes
         max_replies = MAX_PIPELINED_COMMANDS if has_memory else 1
         return (
@@ -248,7 +252,7 @@
             self.reject_command(reply, "wrong number of arguments")
 
     def _stream(self, reply: PendingReply) -> bool:
-        """Asks for the next piece of a streamed value; False if the reply is none."""
+        """Requests the next chunk of a streamed value; returns False if the reply is not streamed."""
         if reply.request_next_chunk is None:
             return False
         if not reply.head_sent:
@@ -258,8 +262,9 @@
         return True
 
     def _on_all_replied(self) -> None:
-        shuts_down = self.clients.close_after_reply
-        if self.ignores_input or (shuts_down and not len(self.input)):  # input that has come is answered
+        is_shutting_down = self.clients.close_after_reply
+        # During a shutdown, commands that have been received are still answered before the close.
+        if self.ignores_input or (is_shutting_down and not len(self.input)):
             self.close()
-        elif not shuts_down:
+        elif not is_shutting_down:
             self.clients.mark_idle(self)
--- a/calicofall/proxy/client_protocol.py
+++ b/calicofall/proxy/client_protocol.py
@@ -1,6 +1,6 @@
-"""The fields of clients' commands and of endpoints' answers, as the protocol's documentation names them.
+"""The fields of clients' commands and of endpoints' replies, named as in the protocol's documentation.
 
-Invariants: a command of `ARGUMENT_COUNTS` raises nothing but `InvalidRequestError`, whatever its parts are.
+Invariants: parsing a command of `ARGUMENT_COUNTS` raises only `InvalidRequestError`, whatever its parts are.
 """
 
 import re
@@ -8,10 +8,10 @@
 from math import ceil, isfinite
 from typing import Any
 
-# What an endpoint says of how it got a value, and the router's names for that.
+# Notes of an endpoint on how it got a value, and the router's names for them.
 ANSWER_NOTES = {b"hit": "hit", b"miss": "fetched", b"pending": "fetching"}
 
-# The commands that are requests, and how many parts they have, their own name among them.
+# The commands that are requests, and the number of their parts including the command's name.
 ARGUMENT_COUNTS = {b"C.GET": 4, b"C.SET": 5}
 
 HEX_NUMBER = re.compile(rb"[0-9a-fA-F]{1,16}")
@@ -20,21 +20,26 @@
 
 
 class InvalidRequestError(ValueError):
-    """A command that is no request. The text goes to the client, and names the field that is wrong."""
+    """A command is not a valid request. The message is sent to the client and names the invalid field."""
 
 
 def parse_request_fields(
     parts: list[bytes], methods: Mapping[str, Mapping[str, Any]], tenants: set[str]
 ) -> dict[str, Any]:
-    """What a client's command asks for: method, tenant, key, write, patience (milliseconds) and repeat.
+    """Parses a client's request.
 
     Args:
-        parts: The command: its name, the key, the request's id, and names with values.
+        parts: The command's name, the key, the request's id, a list of names and values, and the value of a
+            write.
         methods: The settings of methods by name.
-        tenants: The tenants that are known; empty where requests need none.
+        tenants: The configured tenants; empty where a request needs no tenant.
+
+    Returns:
+        The request's method, tenant, key, whether it is a write, its patience (how long the client waits, in
+        ms), and whether it is a repeat.
 
     Raises:
-        InvalidRequestError: A field is missing or has not its form, or its value is unknown.
+        InvalidRequestError: A field is missing or malformed, or its value is unknown.
     """
     if len(parts) != ARGUMENT_COUNTS[parts[0]]:
         raise InvalidRequestError("wrong number of arguments")
@@ -77,7 +82,7 @@
 
 
 def _parse_patience(values: dict[bytes, bytes]) -> float:
-    """How long the client waits, in milliseconds."""
+    """Returns how long the client waits (ms)."""
     text = values.get(b"d", b"")
     patience_ms = float(text) if DECIMAL.fullmatch(text) else 0.0
     if patience_ms <= 0.0:
@@ -85,15 +90,15 @@
     return patience_ms
 
 
-def build_forwarded_command(parts: list[bytes], patience: float) -> list[bytes]:
-    """The client's command as an endpoint gets it: only how long its answer is waited for (ms) is changed."""
-    wait = b"d=%d" % max(1, ceil(patience))
-    pairs = b",".join(wait if pair.startswith(b"d=") else pair for pair in parts[3].split(b","))
+def build_forwarded_command(parts: list[bytes], timeout_ms: float) -> list[bytes]:
+    """Returns a client's command as an endpoint gets it: only the time to wait for the reply is changed."""
+    timeout_field = b"d=%d" % max(1, ceil(timeout_ms))
+    pairs = b",".join(timeout_field if pair.startswith(b"d=") else pair for pair in parts[3].split(b","))
     return [*parts[:3], pairs, *parts[4:]]
 
 
 def parse_load_report(value: Any) -> dict[str, float] | None:
-    """An endpoint's load report: names and finite numbers; None where there is none, or it is malformed."""
+    """Returns an endpoint's load report, finite numbers by name; None if it is missing or malformed."""
     if not isinstance(value, bytes):
         return None
     pairs = (pair.partition(b"=")[::2] for pair in value.split(b","))
--- a/calicofall/proxy/clients.py
+++ b/calicofall/proxy/clients.py
@@ -1,7 +1,8 @@
-"""All connections of clients: their budget of descriptors and memory, and the time that each may take.
+"""All connections of clients: their budget of descriptors and memory, and their time limits.
 
-Descriptors are shared with the connections to endpoints. A connection that is of no use to its client goes
-for a new one; clients that send half a command, or nothing, are ended after a time.
+The budget of descriptors is shared with the connections to endpoints. When it is used up, the least useful
+connection of a client is closed for a new one. A client that sends nothing, or an incomplete command, is
+disconnected after a timeout.
 """
 
 import asyncio
@@ -11,25 +12,25 @@
 from calicofall.proxy.client_connection import ClientConnection, PendingReply
 
 FIRST_BYTE_TIMEOUT_S = 2.3
-COMMAND_TIMEOUT_S = 2.5  # in which a command comes whole, or more of a long one comes
-LONG_COMMAND_FACTOR = 4  # times as long until a long command is whole
-MIN_STALL_TIMEOUT_S = 2.5  # in which a client takes some of what is written to it
-EXCESS_IDLE_TIMEOUT_S = 0.1  # that a connection may be idle between requests where many are
-IDLE_BUDGET_DIVISOR = 8  # more than this part of the connections idle is many
-SHUTDOWN_TIMEOUT_S = 0.1  # for a first byte and for a command, during a shutdown
-FRESH_CONNECTION_S = 0.25  # in which a connection without a byte doesn't count as silent
+COMMAND_TIMEOUT_S = 2.5  # for a complete command, or for more input of a long one
+LONG_COMMAND_FACTOR = 4  # multiple of the command timeout within which a long command must be complete
+MIN_STALL_TIMEOUT_S = 2.5  # in which a client has to accept some of the output
+EXCESS_IDLE_TIMEOUT_S = 0.1  # between two requests, while too many connections are idle
+IDLE_BUDGET_DIVISOR = 8  # too many are idle when they exceed the budget divided by this number
+SHUTDOWN_TIMEOUT_S = 0.1  # for the first byte and for a command, during a shutdown
+FRESH_CONNECTION_S = 0.25  # age up to which a connection without input does not count as silent
 
 
 class ClientConnections:
-    """The connections of clients, by what is known of their use; each table has the longest first.
+    """The connections of clients, grouped by state; the oldest entry of each table is the first.
 
     Args:
         loop: The event loop.
-        max_connections: Descriptors for clients and endpoints together.
-        read_ahead_bytes: Memory of commands and replies from which on no command is read ahead.
-        stall_timeout_s: In which a client takes something of what is written to it.
-        on_request: Called with the reply that is owed and the parts of a request's command.
-        on_client_disconnected: Called with each reply that was owed to a client that has left.
+        max_connections: Maximum number of connections to clients and endpoints together.
+        read_ahead_bytes: Memory of commands and replies at which clients' commands are no longer read ahead.
+        stall_timeout_s: Time in which a client has to accept some of the output.
+        on_request: Called with the reply that is due and the parts of a request's command.
+        on_client_disconnected: Called with each reply that was still due to a client that disconnected.
     """
 
     def __init__(
@@ -47,58 +48,58 @@
         self.stall_timeout_s = max(stall_timeout_s, MIN_STALL_TIMEOUT_S)
         self.on_request = on_request
         self.on_client_disconnected = on_client_disconnected
-        self.count_other_connections: Callable[[], int] = lambda: 0  # that share the budget
+        self.count_other_connections: Callable[[], int] = lambda: 0  # sharing the budget
         self.connections: set[ClientConnection] = set()
-        # Since when, on the loop's clock.
+        # Each of these tables: the time of entry into the state (s, the loop's clock).
         self.without_first_byte: OrderedDict[ClientConnection, float] = OrderedDict()
         self.idle: OrderedDict[ClientConnection, float] = OrderedDict()
-        self.partial_commands: OrderedDict[ClientConnection, float] = OrderedDict()  # a command has begun
-        self.closing: dict[ClientConnection, None] = {}  # shut for writing
-        self.waiting_for_memory: set[ClientConnection] = set()  # of those with a partial command
+        self.partial_commands: OrderedDict[ClientConnection, float] = OrderedDict()
+        self.closing: dict[ClientConnection, None] = {}  # waiting for the client to close, too
+        self.waiting_for_memory: set[ClientConnection] = set()  # subset of `partial_commands`
         self.close_after_reply = False
         self.rejects_ping = False
         self.first_byte_timeout_s = FIRST_BYTE_TIMEOUT_S
         self.command_timeout_s = COMMAND_TIMEOUT_S
-        self.buffered_bytes = 0  # of commands and replies
-        self.partial_command_bytes = 0  # of commands that have begun and not ended
+        self.buffered_bytes = 0  # of complete commands and of replies
+        self.partial_command_bytes = 0  # of incomplete commands
 
     def add_client(self) -> ClientConnection:
-        """Makes the connection of a new client."""
+        """Creates the connection of a new client."""
         client = ClientConnection(self)
         self.connections.add(client)
         self.without_first_byte[client] = self.loop.time()
         return client
 
     def ensure_capacity(self) -> bool:
-        """Whether one more connection fits in the budget; the least useful one goes for it if need be."""
+        """Whether one more connection fits in the budget; closes the least useful one for it if necessary."""
         if self._has_capacity():
             return True
-        victim = self._least_useful()
-        if victim is None:
+        least_useful = self._least_useful()
+        if least_useful is None:
             return False
-        victim.abort()
+        least_useful.abort()
         return True
 
     def reduce_max_connections(self, max_connections: int) -> None:
-        """Takes a smaller budget: closing and idle connections go for it."""
+        """Sets the budget and closes connections over it: first closing ones, then idle ones."""
         self.max_connections = max(1, max_connections)
         while (self.closing or self.idle) and self._total() > self.max_connections:
             next(iter(self.closing or self.idle)).abort()
 
     def on_first_byte(self, client: ClientConnection) -> None:
-        """The client has sent something."""
+        """Marks the client as idle when its first input arrives."""
         if self.without_first_byte.pop(client, None) is not None:
             self.idle[client] = self.loop.time()
 
     def update_partial_command(self, client: ClientConnection, has_partial: bool) -> None:
-        """Notes whether a command has begun and not ended, and keeps such commands within the memory."""
+        """Updates whether a client has sent an incomplete command, and bounds the memory of all of these."""
         partial_command_bytes = len(client.input.memory) + client.parser.bulk_bytes_read if has_partial else 0
         self.partial_command_bytes += partial_command_bytes - client.partial_command_bytes
         client.partial_command_bytes = partial_command_bytes
         if has_partial:
             client.partial_progress_at = self.loop.time()
             self.partial_commands.setdefault(client, client.partial_progress_at)
-            self.idle.pop(client, None)  # a slow client is not idle in the middle of its command
+            self.idle.pop(client, None)  # a slow client is not idle while it sends a command
         else:
             self.partial_commands.pop(client, None)
             self.waiting_for_memory.discard(client)
@@ -115,53 +116,53 @@
         self._resume_waiting()
 
     def reject_partial_command(self, client: ClientConnection, reason: str) -> None:
-        """Ends a connection whose command won't be waited for."""
+        """Closes a connection whose command is incomplete, with an error reply."""
         self.update_partial_command(client, False)
         client.reject_further_input(reason)
         client.on_data()
 
     def close_overdue(self) -> None:
-        """Ends connections that have kept the proxy waiting for too long; called at intervals."""
+        """Closes connections whose first byte or command is overdue; called at intervals."""
         now = self.loop.time()
-        silent_since = now - self.first_byte_timeout_s
-        for client in [one for one, since in self.without_first_byte.items() if since < silent_since]:
+        silent_before = now - self.first_byte_timeout_s
+        for client in [client for client, since in self.without_first_byte.items() if since < silent_before]:
             client.close()
-        for client in [one for one in self.connections if one.reading_paused]:
+        for client in [client for client in self.connections if client.reading_paused]:
             client.detect_disconnect()
         self.close_excess_idle()
-        overdue_since = now - self.command_timeout_s
-        for client in [one for one, since in self.partial_commands.items() if since < overdue_since]:
-            if not self._may_go_on(client, now, overdue_since):
+        overdue_before = now - self.command_timeout_s
+        for client in [client for client, since in self.partial_commands.items() if since < overdue_before]:
+            if not self._may_go_on(client, now, overdue_before):
                 self.reject_partial_command(client, "a command that does not end")
 
     def close_excess_idle(self) -> None:
-        """Closes idle connections where they take too much of the budget: others lack it to ask with."""
-        idle_since = self.loop.time() - EXCESS_IDLE_TIMEOUT_S
+        """Closes idle connections while they use so much of the budget that active clients would lack it."""
+        idle_before = self.loop.time() - EXCESS_IDLE_TIMEOUT_S
         while len(self.idle) > self.max_connections // IDLE_BUDGET_DIVISOR:
             client, since = next(iter(self.idle.items()))
-            if since > idle_since:
+            if since > idle_before:
                 return
             client.close()
 
     def on_closing(self, client: ClientConnection) -> None:
-        """The client is owed nothing more: only its end is waited for."""
+        """The connection is closing: no reply is due any more, and only the client's close is awaited."""
         self.without_first_byte.pop(client, None)
         self.idle.pop(client, None)
         self.update_partial_command(client, False)
         self.closing[client] = None
 
     def mark_busy(self, client: ClientConnection) -> None:
-        """The client is owed a reply."""
+        """A reply to the client is due."""
         self.idle.pop(client, None)
 
     def mark_idle(self, client: ClientConnection) -> None:
-        """The client is owed nothing for now."""
+        """No reply to the client is due."""
         self.idle.pop(client, None)
         self.idle[client] = self.loop.time()
         self.close_excess_idle()
 
     def remove_client(self, client: ClientConnection) -> None:
-        """The connection is over."""
+        """Removes a closed connection from all tables."""
         self.update_partial_command(client, False)
         self.connections.discard(client)
         self.without_first_byte.pop(client, None)
@@ -169,19 +170,19 @@
         self.closing.pop(client, None)
 
     def close_idle(self) -> None:
-        """Closes idle connections; new ones, and those with a command that has begun, may still ask."""
+        """Closes idle connections, but not those without input yet or with an incomplete command."""
         self.first_byte_timeout_s = SHUTDOWN_TIMEOUT_S
         for client in list(self.idle):
             client.close()
 
     def close_unfinished(self) -> None:
-        """From here on no client is waited for."""
+        """Closes connections without a complete command, and reduces their timeout to that of a shutdown."""
         self.command_timeout_s = SHUTDOWN_TIMEOUT_S
         self.close_idle()
         self.close_overdue()
 
     def cancel_shutdown(self) -> None:
-        """Undoes a shutdown: connections are kept again."""
+        """Restores normal operation: connections stay open again, with the usual timeouts."""
         self.close_after_reply = False
         self.rejects_ping = False
         self.first_byte_timeout_s = FIRST_BYTE_TIMEOUT_S
@@ -194,9 +195,13 @@
         return self._total() < self.max_connections
 
     def _least_useful(self) -> ClientConnection | None:
-        """The connection that goes for a new one: closing, silent, or idle longest."""
-        fresh_since = self.loop.time() - FRESH_CONNECTION_S
-        silent = (client for client, since in self.without_first_byte.items() if since < fresh_since)
+        """Returns the connection to close for a new one.
+
+        In this order: one that is closing, one that has been silent since it was accepted, the longest idle
+        one, a fresh one without input, one with an incomplete command.
+        """
+        silent_before = self.loop.time() - FRESH_CONNECTION_S
+        silent = (client for client, since in self.without_first_byte.items() if since < silent_before)
         candidates: Sequence[ClientConnection | None] = (
             next(iter(self.closing), None),
             next(silent, None),
@@ -207,7 +212,7 @@
         return next((client for client in candidates if client is not None), None)
 
     def _wait_for_memory(self, client: ClientConnection) -> None:
-        """Holds back a long command while another long one goes on."""
+        """Pauses the reading of a long command while another long one is being read."""
         others = self.partial_commands.keys() - self.waiting_for_memory - {client}
         if any(other.parser.is_reading_long_value for other in others):
             self.waiting_for_memory.add(client)
@@ -220,9 +225,9 @@
             client.partial_progress_at = now
             self.loop.call_soon(client.on_data)
 
-    def _may_go_on(self, client: ClientConnection, now: float, overdue_since: float) -> bool:
-        """Whether an overdue command is waited for: a long one that grows, or that waits for memory."""
-        makes_progress = client.parser.is_reading_long_value and client.partial_progress_at >= overdue_since
+    def _may_go_on(self, client: ClientConnection, now: float, overdue_before: float) -> bool:
+        """Whether an overdue command is not rejected yet: a long one that grows or that waits for memory."""
+        makes_progress = client.parser.is_reading_long_value and client.partial_progress_at >= overdue_before
         if not (client in self.waiting_for_memory or makes_progress):
             return False
         return self.partial_commands.get(client, now) >= now - LONG_COMMAND_FACTOR * self.command_timeout_s
--- a/calicofall/proxy/command_parser.py
+++ b/calicofall/proxy/command_parser.py
@@ -1,7 +1,7 @@
-"""A parser of clients' commands that reads out of a ring buffer.
+"""Parser of clients' commands, which reads from a ring buffer.
 
-Invariants: it never blocks and never looks beyond its buffer; what a peer makes it hold is bounded; a byte
-that no command can have at its place is an error at once, not something to wait behind.
+Invariants: it never blocks and reads nothing but its buffer; the memory that a peer can make it use is
+bounded; a byte that cannot occur at its position in a command is reported at once, not after more input.
 """
 
 from typing import Any
@@ -23,44 +23,44 @@
 MAX_ARRAY_DEPTH = 4
 MAX_MESSAGE_BYTES = MAX_VALUE_BYTES + (1 << 16)
 MAX_INTEGER_DIGITS = 18
-SHORT_COMMAND_BYTES = 512  # of a command that is read in one look
+SHORT_COMMAND_BYTES = 512  # maximum length of a command that is parsed in one step
 SHORT_COMMAND_PARTS = 5
 LINE_FEED = 10
 CARRIAGE_RETURN = 13
 DIGITS = frozenset(b"0123456789")
 ARRAY_HEADS = {b"*%d" % count: count for count in range(1, SHORT_COMMAND_PARTS + 1)}
 TYPE_MARKERS = frozenset({b"$", b"*", b"+", b"-", b":"})
-OPENED = Incomplete()  # a line that is no value by itself: the head of an array or of a bulk string
+VALUE_OPENED = Incomplete()  # a line that is the head of an array or of a bulk string, not a value by itself
 
 
 class CommandParser:
-    """Reads one value after the other; what has come of a value is kept until it is whole."""
+    """Reads one value after the other and keeps the received part of a value until it is complete."""
 
     def __init__(self, ring: RingBuffer) -> None:
         self.ring = ring
-        # The members that have come of each array that is open, and how many there will be.
-        self.open_arrays: list[tuple[list[Any], int]] = []
-        self.bulk_bytes_left = -1  # length of the bulk string that is coming
-        self.bulk_chunks: list[bytes] = []  # what has come of a long one
+        # For each incomplete array, the outermost first: the members received so far and its length.
+        self.incomplete_arrays: list[tuple[list[Any], int]] = []
+        self.bulk_length = -1  # of the bulk string that is being received; -1 outside a bulk string
+        self.bulk_chunks: list[bytes] = []  # received part of a long bulk string
         self.bulk_bytes_read = 0
-        self.scanned = 0  # bytes of an unfinished line in which no line feed was found
+        self.scanned_bytes = 0  # length of the incomplete line in which no line feed was found
         self.message_bytes = 0
 
     def read(self) -> Value | Incomplete:
-        """The next value, or INCOMPLETE.
+        """Returns the next value, or INCOMPLETE.
 
         Raises:
-            ProtocolError: The input is no RESP2, or is too large.
+            ProtocolError: The input is not RESP2 or is too large.
         """
-        if self.bulk_bytes_left < 0 and not self.open_arrays:
+        if self.bulk_length < 0 and not self.incomplete_arrays:
             command = self._read_short_command()
             if command is not None:
                 return command
         while True:
-            if self.bulk_bytes_left >= 0:
-                if not self._bulk_is_whole():
+            if self.bulk_length >= 0:
+                if not self._is_bulk_complete():
                     return INCOMPLETE
-                is_last, outermost = self._add(self._take_bulk())
+                is_complete, outermost = self._add(self._take_bulk())
             else:
                 line = self._read_line()
                 if line is None:
@@ -68,29 +68,29 @@
                 value = self._parse_line(line)
                 if isinstance(value, Incomplete):
                     continue
-                is_last, outermost = self._add(value)
-            if is_last:
+                is_complete, outermost = self._add(value)
+            if is_complete:
                 return outermost
 
     @property
     def is_reading_long_value(self) -> bool:
-        """Whether a long value is coming: memory is taken for what has come of it, not for its length."""
-        return self.bulk_bytes_left > STREAMING_THRESHOLD_BYTES
+        """Whether a long value is being received, for which memory is allocated as it arrives."""
+        return self.bulk_length > STREAMING_THRESHOLD_BYTES
 
     def has_partial_message(self) -> bool:
-        """Whether a value has begun and not ended."""
-        return bool(self.open_arrays) or self.bulk_bytes_left >= 0 or len(self.ring) > 0
+        """Whether a value has been received in part."""
+        return bool(self.incomplete_arrays) or self.bulk_length >= 0 or len(self.ring) > 0
 
-    def _bulk_is_whole(self) -> bool:
-        read_all = self.bulk_bytes_read >= self.bulk_bytes_left
-        if self.is_reading_long_value and not read_all and not self._read_long_value():
+    def _is_bulk_complete(self) -> bool:
+        has_read_all = self.bulk_bytes_read >= self.bulk_length
+        if self.is_reading_long_value and not has_read_all and not self._read_long_value():
             return False
-        return len(self.ring) >= self.bulk_bytes_left - self.bulk_bytes_read + 2
+        return len(self.ring) >= self.bulk_length - self.bulk_bytes_read + 2
 
     def _take_bulk(self) -> bytes:
         is_chunked = self.bulk_bytes_read > 0
-        value = b"".join(self.bulk_chunks) if is_chunked else self.ring.take(self.bulk_bytes_left)
-        self.bulk_bytes_left = -1
+        value = b"".join(self.bulk_chunks) if is_chunked else self.ring.take(self.bulk_length)
+        self.bulk_length = -1
         self.bulk_bytes_read = 0
         self.bulk_chunks = []
         if self.ring.take(2) != b"\r\n":
@@ -98,12 +98,12 @@
         return value
 
     def _parse_line(self, line: bytes) -> Value | Incomplete:
-        """The value of a line; OPENED if the line opens an array or a bulk string."""
+        """Returns the value of a line; VALUE_OPENED if the line is the head of an array or a bulk string."""
         marker, rest = line[:1], line[1:]
         if marker == b"$":
-            return self._open_bulk(rest)
+            return self._start_bulk(rest)
         if marker == b"*":
-            return self._open_array(rest)
+            return self._start_array(rest)
         if marker == b"+":
             return SimpleString(rest)
         if marker == b"-":
@@ -112,24 +112,24 @@
             return self._parse_integer(rest)
         raise ProtocolError("not RESP2")
 
-    def _open_bulk(self, length_text: bytes) -> Value | Incomplete:
+    def _start_bulk(self, length_text: bytes) -> Value | Incomplete:
         length = self._parse_length(length_text, MAX_VALUE_BYTES)
         if length < 0:
             return None
-        self._count_bytes(length)
-        self.bulk_bytes_left = length
-        return OPENED
+        self._add_message_bytes(length)
+        self.bulk_length = length
+        return VALUE_OPENED
 
-    def _open_array(self, length_text: bytes) -> Value | Incomplete:
+    def _start_array(self, length_text: bytes) -> Value | Incomplete:
         length = self._parse_length(length_text, MAX_ARRAY_MEMBERS)
         if length < 0:
             return None
         if length == 0:
             return []
-        if len(self.open_arrays) >= MAX_ARRAY_DEPTH:
+        if len(self.incomplete_arrays) >= MAX_ARRAY_DEPTH:
             raise ProtocolError("arrays too deep")
-        self.open_arrays.append(([], length))
-        return OPENED
+        self.incomplete_arrays.append(([], length))
+        return VALUE_OPENED
 
     def _parse_length(self, text: bytes, maximum: int) -> int:
         length = self._parse_integer(text)
@@ -140,20 +140,24 @@
         return length
 
     def _add(self, value: Value) -> tuple[bool, Value]:
-        """Adds a value to the innermost array; whether the outermost value is whole by it, and that value."""
-        while self.open_arrays:
-            members, length = self.open_arrays[-1]
+        """Adds a value to the innermost array.
+
+        Returns:
+            Whether the outermost value is complete now, and that value.
+        """
+        while self.incomplete_arrays:
+            members, length = self.incomplete_arrays[-1]
             members.append(value)
             if len(members) < length:
                 return False, None
             value = members
-            self.open_arrays.pop()
+            self.incomplete_arrays.pop()
         self.message_bytes = 0
         return True, value
 
     def _read_long_value(self) -> bool:
-        """Takes what has come of a long value; whether that is all of it."""
-        left = self.bulk_bytes_left - self.bulk_bytes_read
+        """Reads the received bytes of a long value; returns whether the value is complete."""
+        left = self.bulk_length - self.bulk_bytes_read
         chunk = self.ring.take(min(len(self.ring), left))
         if chunk:
             self.bulk_chunks.append(chunk)
@@ -163,38 +167,41 @@
         return left == 0
 
     def _read_short_command(self) -> list[bytes] | None:
-        """A short command that has come whole, in one look: most are, and each step costs processor time."""
-        first, *pieces = self.ring.peek(SHORT_COMMAND_BYTES).split(b"\r\n", 2 * SHORT_COMMAND_PARTS + 1)
-        count = ARRAY_HEADS.get(first, 0)
-        items = pieces[1 : 2 * count : 2]
+        """Parses a short command that was received completely in one step; returns None for other input.
+
+        Most commands are short, and parsing them value by value costs processor time at each step.
+        """
+        head, *lines = self.ring.peek(SHORT_COMMAND_BYTES).split(b"\r\n", 2 * SHORT_COMMAND_PARTS + 1)
+        count = ARRAY_HEADS.get(head, 0)
+        values = lines[1 : 2 * count : 2]
         if (
             not count
-            or len(pieces) <= 2 * count
-            or any(size != b"$%d" % len(item) for size, item in zip(pieces[::2], items, strict=False))
+            or len(lines) <= 2 * count
+            or any(length != b"$%d" % len(value) for length, value in zip(lines[::2], values, strict=False))
         ):
             return None
-        self.ring.drop(len(first) + 2 + sum(map(len, pieces[: 2 * count])) + 4 * count)
-        self.scanned = 0
-        return items
+        self.ring.drop(len(head) + 2 + sum(map(len, lines[: 2 * count])) + 4 * count)
+        self.scanned_bytes = 0
+        return values
 
     def _read_line(self) -> bytes | None:
-        """The next line without its end; None if it has not come whole."""
-        end = self.ring.find(LINE_FEED, self.scanned)
+        """Returns the next line without its line end, or None if it is incomplete."""
+        end = self.ring.find(LINE_FEED, self.scanned_bytes)
         if end < 0:
-            self.scanned = len(self.ring)
-            if self.scanned > MAX_LINE_BYTES:
+            self.scanned_bytes = len(self.ring)
+            if self.scanned_bytes > MAX_LINE_BYTES:
                 raise ProtocolError("a line too long")
-            if self.scanned and self.ring.peek(1) not in TYPE_MARKERS:
+            if self.scanned_bytes and self.ring.peek(1) not in TYPE_MARKERS:
                 raise ProtocolError("not RESP2")
             return None
-        self.scanned = 0
+        self.scanned_bytes = 0
         line = self.ring.take(end + 1)
         if not 3 <= len(line) <= MAX_LINE_BYTES or line[-2] != CARRIAGE_RETURN:
             raise ProtocolError("a line too short, too long or without its end")
-        self._count_bytes(len(line))
+        self._add_message_bytes(len(line))
         return line[:-2]
 
-    def _count_bytes(self, count: int) -> None:
+    def _add_message_bytes(self, count: int) -> None:
         self.message_bytes += count
         if self.message_bytes > MAX_MESSAGE_BYTES:
             raise ProtocolError("a message too large")
--- a/calicofall/proxy/connection.py
+++ b/calicofall/proxy/connection.py
@@ -1,7 +1,7 @@
-"""What every TCP connection of the proxy has in common, and the listener that accepts connections.
+"""The base class of all TCP connections of the proxy, and the listener that accepts connections.
 
-Invariants: the transport is given more output only when it holds none, so that what is still in the
-output queue is known not to have left; a connection that still owes bytes is not closed over unread input,
+Invariants: the transport is given more output only when its own buffer is empty, so that the bytes in the
+output queue are known to be unsent; a connection with unsent output is not closed while it has unread input,
 which would reset it; no exception leaves a callback.
 """
 
@@ -18,11 +18,11 @@
 from calicofall.proxy.buffers import OutputQueue, RingBuffer
 
 CHUNK_BYTES = 1 << 16
-LINGER_S = 0.25  # in which a peer may read the last bytes of a connection that closes
-MAX_DISCARDED_BYTES = 1 << 17  # read from a connection that closes; as much as a system holds for it
+LINGER_S = 0.25  # time for the peer to read the last bytes of a connection that is closing
+MAX_DISCARDED_BYTES = 1 << 17  # of a connection that is closing; as much as the kernel buffers for it
 LISTEN_BACKLOG = 512
-ACCEPTS_PER_TURN = 16
-ACCEPT_PAUSE_S = 0.05  # until the next try where there was no room
+ACCEPTS_PER_ITERATION = 16
+ACCEPT_PAUSE_S = 0.05  # until the next attempt after there was no capacity for a connection
 LOCAL_RESOURCE_ERRORS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 )
@@ -33,7 +33,7 @@
 class BufferedConnection(asyncio.BufferedProtocol):
     """A connection with a buffer for each direction; subclasses implement the `on_...` hooks."""
 
-    # The transport is there from `connection_made` on. Hooks and methods that need it run after that.
+    # Set by `connection_made`, and None before. The hooks and methods that need it run after that call.
     transport: Any
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -45,41 +45,41 @@
         self.closed = False
         self.closing = False
         self.close_reason = "closed"
-        self.lacked_local_resources = False  # not opened for want of descriptors, ports or memory here
+        self.lacked_local_resources = False  # opening failed for lack of local descriptors, ports or memory
         self.connect_task: asyncio.Task[None] | None = None
-        self.linger_timer: asyncio.TimerHandle | None = None  # set once the last byte has left
+        self.linger_timer: asyncio.TimerHandle | None = None  # set when all output has been written
         self.discarded_bytes = 0
-        self.queued_bytes = 0  # put into the output queue since the start
-        self.handed_over_bytes = 0  # of these, given to the transport
+        self.queued_bytes = 0  # written to this connection since it was created
+        self.handed_over_bytes = 0  # of these, passed to the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes the transport; part of asyncio's protocol."""
+        """The connection is established; part of asyncio's protocol."""
         self.transport = transport
         self.transport.set_write_buffer_limits(high=0)
-        if self.closed:  # given up while it was being opened
+        if self.closed:  # aborted while it was being opened
             self.transport.abort()
             return
         self.on_open()
         self.flush()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Where asyncio puts the next input."""
+        """Returns the memory into which asyncio reads the next input."""
         return self.input.free_space()
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Input has come; part of asyncio's protocol."""
+        """Input has been received; part of asyncio's protocol."""
         self.input.commit(nbytes)
         if self.closing:
             self._discard_input(nbytes)
             return
         try:
             self.on_data()
-        except Exception as reason:  # one connection's fault must not end the others
-            log.exception("connection cut", extra={"reason": repr(reason)})
+        except Exception as error:  # an error on one connection must not affect the others
+            log.exception("connection cut", extra={"reason": repr(error)})
             self.abort()
 
     def write(self, data: bytes) -> None:
-        """Queues output; a peer that reads too little for the queue's bound is cut off."""
+        """Writes or queues output; a peer that reads so slowly that the queue is full is disconnected."""
         if self.closed or self.closing:
             return
         self.queued_bytes += len(data)
@@ -97,7 +97,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Gives the transport what it takes, and ends a closing connection behind the last byte."""
+        """Passes output to the transport while it accepts any; ends a closing connection after the last."""
         if self.transport is None or self.closed:
             return
         while len(self.output) and not self.write_paused:
@@ -120,42 +120,43 @@
         self.flush()
 
     def close(self) -> None:
-        """Closes with a linger: shut for writing behind the last byte, then read until the peer ends.
+        """Shuts the connection down for writing after the last byte, then reads until the peer closes it.
 
-        A close over unread input would reset the connection and destroy what the peer has not read yet.
+        Closing a socket with unread input would reset the connection and discard output that the peer has not
+        read yet.
         """
         if self.closing or self.closed:
             return
         self.closing = True
         self.input.drop(len(self.input))
         if self.transport is not None:
-            self.transport.resume_reading()  # the peer's end behind unread bytes would not be seen
+            self.transport.resume_reading()  # else the peer's close after unread bytes would go unnoticed
         self.flush()
 
     def peer_has_closed(self) -> bool:
-        """Whether the peer has closed, also while reading is paused with its end behind unread bytes."""
-        plain_socket = None if self.transport is None else self.transport.get_extra_info("socket")
-        if plain_socket is None or plain_socket.fileno() < 0:
+        """Whether the peer has closed, also while reading is paused and unread bytes precede its close."""
+        raw_socket = None if self.transport is None else self.transport.get_extra_info("socket")
+        if raw_socket is None or raw_socket.fileno() < 0:
             return self.closed
         poller = poll()
-        poller.register(plain_socket.fileno(), POLLRDHUP)
+        poller.register(raw_socket.fileno(), POLLRDHUP)
         return bool(poller.poll(0))
 
     def abort(self) -> None:
-        """Closes at once; what has not left is lost."""
+        """Closes the connection at once; unsent output is discarded."""
         if self.closed:
             return
         self._mark_closed()
         if self.transport is not None:
-            # The transport's abort leaves the socket open until the loop's next turn, in which a second copy
-            # of a command could be under way elsewhere already.
-            plain_socket = self.transport.get_extra_info("socket")
+            # The transport's abort closes the socket only in the event loop's next iteration, when a second
+            # copy of a command can already be in flight to another endpoint.
+            raw_socket = self.transport.get_extra_info("socket")
             with suppress(OSError):
-                if plain_socket is not None:
-                    plain_socket.shutdown(socket.SHUT_RDWR)
+                if raw_socket is not None:
+                    raw_socket.shutdown(socket.SHUT_RDWR)
             self.transport.abort()
         elif self.connect_task is not None:
-            self.connect_task.cancel()  # frees its descriptor
+            self.connect_task.cancel()  # closes its socket
         self.on_close()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -165,24 +166,24 @@
             self.on_close()
 
     def eof_received(self) -> bool:
-        """The peer has ended; one that shuts only its side for writing takes no more answers either."""
+        """The peer has closed; a connection that the peer shut down for writing only is aborted, too."""
         self.abort()
         return False
 
     def on_open(self) -> None:
-        """Called when the connection is up."""
+        """Called when the connection is established."""
 
     def on_data(self) -> None:
-        """Called when input has come."""
+        """Called when input has been received."""
 
     def on_bytes_handed_over(self) -> None:
-        """Called when output may have been given to the transport."""
+        """Called when output may have been passed to the transport."""
 
     def on_close(self) -> None:
-        """Called once, when the connection is over."""
+        """Called once, when the connection is closed."""
 
     def _discard_input(self, count: int) -> None:
-        """Reads past what comes behind the shutdown, so that no reset goes out, up to a bound."""
+        """Discards input that arrives after the shutdown, so that no reset is sent, up to a maximum."""
         self.input.drop(len(self.input))
         self.discarded_bytes += count
         if self.discarded_bytes > MAX_DISCARDED_BYTES:
@@ -191,7 +192,7 @@
     def _mark_closed(self) -> None:
         self.closed = True
         if self.linger_timer is not None:
-            self.linger_timer.cancel()  # it would hold the dead connection until it fires
+            self.linger_timer.cancel()  # it would keep the closed connection in memory until it fires
 
 
 def open_connection(
@@ -200,25 +201,25 @@
     address: tuple[str, int],
     timeout_s: float,
 ) -> None:
-    """Opens a connection; `connection` is aborted if none comes up in time."""
+    """Opens a connection; `connection` is aborted if it is not established in time."""
     connection.connect_task = start_connect_task(loop, _open_connection(loop, connection, address, timeout_s))
 
 
 def start_connect_task(
-    loop: asyncio.AbstractEventLoop, steps: Coroutine[Any, Any, None]
+    loop: asyncio.AbstractEventLoop, coroutine: Coroutine[Any, Any, None]
 ) -> "asyncio.Task[None]":
-    """Runs the opening of a connection as a task that is referenced until it is done."""
-    task = loop.create_task(steps)
+    """Runs a coroutine that opens a connection as a task, and references the task until it is done."""
+    task = loop.create_task(coroutine)
     connecting_tasks.add(task)
     task.add_done_callback(connecting_tasks.discard)
     return task
 
 
 def check_address_available(address: tuple[str, int]) -> None:
-    """Checks that an address can be listened at, without listening.
+    """Checks that the proxy can listen on an address, without listening.
 
     Raises:
-        OSError: It can't be, with the address in the message.
+        OSError: The address is unavailable; the message contains it.
     """
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -230,20 +231,20 @@
 
 
 class Listener:
-    """Accepts connections, a few in each turn of the loop, while there is room for one more.
+    """Accepts connections, a few in each iteration of the event loop, while there is capacity for one more.
 
-    asyncio's own server accepts hundreds in one turn before any of them is looked at, and at the last free
-    descriptor logs hundreds of errors and then accepts nothing for a second.
+    asyncio's own server accepts hundreds of connections in one iteration before it serves any of them. At the
+    last free descriptor it logs hundreds of errors and then accepts nothing for a second.
 
     Args:
         loop: The event loop.
-        address: Where to listen.
-        has_room: Whether one more connection may be accepted.
-        make_connection: Makes the protocol of an accepted connection.
-        shared: Whether another process may listen there, too, while one replaces the other.
+        address: The address to listen on.
+        has_capacity: Returns whether one more connection may be accepted.
+        make_connection: Creates the protocol object of an accepted connection.
+        shared: Whether another process may listen on the address, too, while one replaces the other.
 
     Raises:
-        OSError: The address can't be listened at.
+        OSError: The address is unavailable.
     """
 
     def __init__(
@@ -267,18 +268,18 @@
         self.resume_accepting()
 
     def resume_accepting(self) -> None:
-        """Accepts again whenever a connection waits."""
+        """Accepts connections whenever one is pending."""
         if self.socket.fileno() >= 0:
             self.loop.add_reader(self.socket.fileno(), self.accept_pending)
 
     def has_pending_connection(self) -> bool:
-        """Whether a connection waits to be accepted."""
+        """Whether a connection is pending."""
         return bool(self.poller.poll(0))
 
     def accept_pending(self) -> None:
-        """Accepts what waits, up to a number for each turn of the loop."""
-        for _ in range(ACCEPTS_PER_TURN):
-            # Looked at first: making room ends an idle client's connection, which nobody may need.
+        """Accepts the pending connections, up to a maximum for each iteration of the event loop."""
+        for _ in range(ACCEPTS_PER_ITERATION):
+            # First, because ensuring capacity can close an idle client's connection, perhaps for no new one.
             if not self.has_pending_connection():
                 return
             if not self.has_capacity():
@@ -288,18 +289,18 @@
                 accepted, _ = self.socket.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
-            except OSError:  # no descriptor left
+            except OSError:  # no descriptor is available
                 self._pause_accepting()
                 return
             self._start(accepted, self.make_connection())
 
     def close(self) -> None:
-        """Stops listening; accepts what waits while there is room, since the close would reset it."""
+        """Stops listening; first accepts the pending connections that fit, which the close would reset."""
         if self.socket.fileno() < 0:
             return
         self.loop.remove_reader(self.socket.fileno())
         with suppress(OSError):
-            # Bounded: a crowd that keeps coming would take the descriptors of requests in flight.
+            # Bounded, because new connections could use up the descriptors that requests in flight need.
             for _ in range(LISTEN_BACKLOG):
                 if not (self.has_pending_connection() and self.has_capacity()):
                     break
@@ -332,20 +333,20 @@
     address: tuple[str, int],
     timeout_s: float,
 ) -> None:
-    opening = None
+    raw_socket = None
     try:
-        opening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        opening.setblocking(False)
+        raw_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        raw_socket.setblocking(False)
         async with asyncio.timeout(timeout_s):
-            await loop.sock_connect(opening, address)
+            await loop.sock_connect(raw_socket, address)
         if not connection.closed:
             connection.connect_task = None  # from here on the transport owns the socket
-            await loop.create_connection(lambda: connection, sock=opening)
+            await loop.create_connection(lambda: connection, sock=raw_socket)
     except (OSError, TimeoutError) as error:
-        connection.close_reason = getattr(error, "strerror", None) or "does not come up"
+        connection.close_reason = getattr(error, "strerror", None) or "connection was not established"
         connection.lacked_local_resources = error.errno in LOCAL_RESOURCE_ERRORS
         connection.connect_task = None
         connection.abort()
     finally:
-        if opening is not None and connection.transport is None:
-            opening.close()
+        if raw_socket is not None and connection.transport is None:
+            raw_socket.close()
--- a/calicofall/proxy/connection_pool.py
+++ b/calicofall/proxy/connection_pool.py
@@ -1,7 +1,7 @@
-"""The connections to one endpoint: which one takes the next command, and when another is opened.
+"""The pool of connections to one endpoint: chooses the connection of each command, and opens connections.
 
-Invariants: a connection is opened only in its turn, which the quota of handshakes gives, and only within the
-quota and the proxy's budget of connections.
+Invariants: a connection is opened only in its handshake slot, which the quota of handshakes assigns, and only
+within the quota of connections and the proxy's budget of connections.
 """
 
 from math import inf
@@ -13,9 +13,9 @@
 if TYPE_CHECKING:
     from calicofall.proxy.upstream import Upstreams
 
-MIN_IDLE_CONNECTIONS = 2  # kept idle or coming up, beside those in use
-SPARE_CONNECTIONS = 6  # beyond the usual number, beside those whose reply is overdue
-SETTLE_S = 0.02  # in which an idle connection is used last: some endpoints close right behind a reply
+MIN_IDLE_CONNECTIONS = 2  # idle or being opened, in addition to those in use
+SPARE_CONNECTIONS = 6  # above the usual maximum, to use in place of connections whose reply is overdue
+IDLE_SETTLE_S = 0.02  # an idle connection is used last for this time: some endpoints close after a reply
 
 
 class ConnectionPool:
@@ -25,31 +25,32 @@
         self.upstreams = upstreams
         self.name = name
         self.address: tuple[str, int] | None = None
-        self.connections: dict[UpstreamConnection, None] = {}  # in the order in which they were made
-        self.accepts_requests = True  # neither draining nor gone
-        # Moves the order of proxies' turns, so that a proxy's turns at all endpoints are not at one time.
+        self.connections: dict[UpstreamConnection, None] = {}  # in the order of their creation
+        self.accepts_requests = True  # whether the endpoint is neither draining nor gone
+        # Rotates the order of the proxies' handshakes, so that a proxy's handshakes with different endpoints
+        # are not all at the same time.
         self.order_offset = crc32(name.encode())
 
     def acquire(self, max_wait_s: float) -> UpstreamConnection | None:
-        """The connection for the next command: an idle one, one that comes up, or the least busy.
+        """Returns the connection for the next command: an idle one, one being opened, or the least busy.
 
-        One whose turn to be opened comes later than `patience_s` is not waited for.
+        A connection whose handshake slot is more than `max_wait_s` away is not used.
         """
         now = self.upstreams.loop.time()
-        latest = now + max_wait_s
-        settled = now - SETTLE_S
-        free = [one for one in self.connections if not one.pending and one.opens_at <= latest]
-        if len(free) > 1:
-            free.sort(key=lambda one: (one.is_open, min(0.0, settled - one.idle_since), one.idle_since))
-        while free:
-            connection = free.pop()
+        latest_open_at = now + max_wait_s
+        settled_before = now - IDLE_SETTLE_S
+        available = [c for c in self.connections if not c.pending and c.opens_at <= latest_open_at]
+        if len(available) > 1:
+            available.sort(key=lambda c: (c.is_open, min(0.0, settled_before - c.idle_since), c.idle_since))
+        while available:
+            connection = available.pop()
             if not connection.is_open or connection.has_no_unread_input():
                 return connection
             connection.abort()
-        return self._acquire_busy(max_wait_s, latest)
+        return self._acquire_busy(max_wait_s, latest_open_at)
 
     def add_connection(self, max_wait_s: float = 0.0) -> UpstreamConnection | None:
-        """Makes one more connection, if there is room for it, and its turn comes within `patience_s`."""
+        """Adds a connection if the budgets allow one and its handshake slot is within `max_wait_s`."""
         upstreams = self.upstreams
         quotas = upstreams.connection_quotas
         max_connections = quotas.most
@@ -72,7 +73,7 @@
         return connection
 
     def open_when_due(self, connection: UpstreamConnection) -> None:
-        """Opens a connection once its turn has come."""
+        """Opens a connection in its handshake slot."""
         upstreams = self.upstreams
         now = upstreams.loop.time()
         if connection.closed:
@@ -80,8 +81,8 @@
         if connection.opens_at > now:
             upstreams.loop.call_at(connection.opens_at, self.open_when_due, connection)
         elif upstreams.connection_quotas.lapsed(self.name, connection.opens_at, now):
-            # The process was stopped while it waited, or the turn is another proxy's by now. Proxies that
-            # wake together would otherwise all open their connections at once.
+            # The process was suspended while the connection waited, or the slot is leased to another proxy by
+            # now. Without new slots, proxies that resume together would open all their connections at once.
             connection.opens_at = upstreams.connection_quotas.begin(
                 self.name, self.order_offset, now, now + upstreams.common_clock_offset_s
             )
@@ -95,7 +96,7 @@
     def preconnect(self) -> None:
         """Opens the connections that will be needed next.
 
-        Without this requests would wait for a handshake, which a busy endpoint does behind its other work.
+        Otherwise requests would wait for a handshake, which a busy endpoint completes after its other work.
         """
         if not self.upstreams.preconnect_enabled or not self.accepts_requests or self.address is None:
             return
@@ -107,29 +108,29 @@
             missing -= 1
 
     def close_unused(self) -> None:
-        """Closes what is idle or not open yet; commands that wait for it are not sent."""
+        """Closes connections that are idle or not open yet; commands that wait for these are not sent."""
         for connection in list(self.connections):
             if not connection.pending or not connection.is_open:
                 connection.abort()
 
     def close_idle(self, idle_before: float = inf) -> None:
         """Closes the connections that have been idle since before a time (s, the loop's clock)."""
-        for connection in [one for one in self.connections if one.is_idle and one.idle_since < idle_before]:
+        for connection in [c for c in self.connections if c.is_idle and c.idle_since < idle_before]:
             connection.abort()
 
-    def _acquire_busy(self, max_wait_s: float, latest: float) -> UpstreamConnection | None:
-        """A new connection, or the one on which the fewest commands wait."""
-        # An endpoint that has fallen silent would, over connections that are open, take command after command
-        # to its time-out; a new connection that does not come up proves that its command has not run.
-        prompt = [one for one in self.connections if not one.overdue]
-        if len(prompt) < self.upstreams.max_connections_per_endpoint:
+    def _acquire_busy(self, max_wait_s: float, latest_open_at: float) -> UpstreamConnection | None:
+        """Returns a new connection, or the one with the fewest pending commands; None if there is none."""
+        # Over open connections, an endpoint that has stopped responding would let each command run into its
+        # timeout. If a new connection is not established, its command is known not to have run.
+        responsive = [c for c in self.connections if not c.overdue]
+        if len(responsive) < self.upstreams.max_connections_per_endpoint:
             connection = self.add_connection(max_wait_s)
             if connection is not None:
                 return connection
         max_pending = self.upstreams.max_pending_per_connection
         usable = [
-            one
-            for one in prompt or self.connections
-            if one.opens_at <= latest and len(one.pending) < max_pending and one.address == self.address
+            c
+            for c in responsive or self.connections
+            if c.opens_at <= latest_open_at and len(c.pending) < max_pending and c.address == self.address
         ]
-        return min(usable, key=lambda one: len(one.pending), default=None)
+        return min(usable, key=lambda c: len(c.pending), default=None)
--- a/calicofall/proxy/logs.py
+++ b/calicofall/proxy/logs.py
@@ -1,4 +1,4 @@
-"""Log lines as key=value pairs: time, level, event, and the fields of the event."""
+"""Formats log records as key=value pairs: time, level, event, and the fields of the event."""
 
 import logging
 import sys
@@ -11,7 +11,7 @@
     """Formats a record as `at=... level=... event=...` followed by the fields given as `extra`."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Formats one record; fields whose value is None are left out."""
+        """Formats one record; fields whose value is None are omitted."""
         pairs: dict[str, object] = {
             "at": f"{record.created:.3f}",
             "level": record.levelname.lower(),
@@ -26,7 +26,7 @@
 
 
 def quote_value(value: object) -> str:
-    """The value as text, in double quotes where a bare word would be ambiguous."""
+    """Returns the value as text, in double quotes where an unquoted value would be ambiguous."""
     text = str(value)
     if text and not any(character in text for character in CHARACTERS_TO_QUOTE):
         return text
@@ -35,7 +35,7 @@
 
 
 def configure_logging(level: str = "INFO") -> None:
-    """Sends the program's log lines to standard error from `level` on."""
+    """Writes the program's log records of at least `level` to standard error."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     program_logger = logging.getLogger("calicofall")
--- a/calicofall/proxy/management.py
+++ b/calicofall/proxy/management.py
@@ -1,6 +1,6 @@
-"""The address where operators call: one line a connection, one answer, then a close.
+"""The server for operators' calls: each connection sends one line, gets one answer, and is closed.
 
-What a call does is the proxy's to say. Callers are bounded in number and time, so that none of them takes the
+The proxy carries out the calls. The connections are limited in number and time, so that they do not use the
 descriptors of clients and endpoints.
 """
 
@@ -9,7 +9,7 @@
 
 from calicofall.proxy.connection import BufferedConnection, Listener
 
-MAX_OPERATOR_CONNECTIONS = 12  # out of the descriptors that neither clients nor endpoints may use
+MAX_OPERATOR_CONNECTIONS = 12  # taken from the descriptors that clients and endpoints must not use
 MAX_LINE_BYTES = 256
 CALL_TIMEOUT_S = 6.0
 LINE_FEED = 10
@@ -25,7 +25,7 @@
         self.timer = management.loop.call_later(CALL_TIMEOUT_S, self.on_timeout)
 
     def on_data(self) -> None:
-        """Answers the call once its line is whole; what follows it is not read."""
+        """Answers the call once its line is complete; input after the line is ignored."""
         if self.has_answered:
             return
         line_end = self.input.find(LINE_FEED)
@@ -35,7 +35,7 @@
             self.answer("-ERR a line too long")
 
     def dispatch(self, line: bytes) -> None:
-        """Has the proxy carry out a call."""
+        """Passes a call to the proxy and sends its answer."""
         try:
             call = line.decode("ascii").strip()
         except UnicodeDecodeError:
@@ -44,7 +44,7 @@
         self.answer(self.management.handle_call(call))
 
     def answer(self, text: str) -> None:
-        """Writes the one answer, and closes."""
+        """Writes the connection's only answer and closes the connection."""
         if self.has_answered or self.closed:
             return
         self.has_answered = True
@@ -52,52 +52,52 @@
         self.close()
 
     def on_timeout(self) -> None:
-        """Ends a caller that has sent no whole line, or doesn't read its answer."""
+        """Ends a connection without a complete line, or whose operator does not read the answer."""
         if self.has_answered:
             self.abort()
         else:
             self.answer("-ERR no call came")
 
     def on_close(self) -> None:
-        """The connection is over."""
+        """Removes the closed connection."""
         self.timer.cancel()
         self.management.connections.pop(self, None)
 
 
 class ManagementServer:
-    """Listens for operators; `handle_call` gives the answer to a call."""
+    """Listens for operators; `handle_call` carries out a call and returns its answer."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, handle_call: Callable[[str], str]) -> None:
         self.loop = loop
         self.handle_call = handle_call
-        self.connections: dict[OperatorConnection, None] = {}  # the oldest first
+        self.connections: dict[OperatorConnection, None] = {}  # in the order in which they were accepted
         self.listener: Listener | None = None
 
     def listen(self, address: tuple[str, int]) -> None:
         """Starts to listen.
 
         Raises:
-            OSError: The address can't be listened at.
+            OSError: The address is unavailable.
         """
         self.listener = Listener(self.loop, address, self.ensure_capacity, self.add_connection)
 
     def add_connection(self) -> OperatorConnection:
-        """Makes the connection of a new caller."""
-        caller = OperatorConnection(self)
-        self.connections[caller] = None
-        return caller
+        """Creates the connection of an operator."""
+        connection = OperatorConnection(self)
+        self.connections[connection] = None
+        return connection
 
     def ensure_capacity(self) -> bool:
-        """Ends the oldest caller that has not finished its call if there are too many; always True."""
+        """Aborts the oldest unanswered connection, or the oldest one, if there are too many; returns True."""
         if len(self.connections) >= MAX_OPERATOR_CONNECTIONS:
-            unanswered = next((caller for caller in self.connections if not caller.has_answered), None)
+            unanswered = next((c for c in self.connections if not c.has_answered), None)
             oldest = unanswered or next(iter(self.connections))
             oldest.abort()
         return True
 
     def close(self) -> None:
-        """Stops listening and ends all callers."""
+        """Stops listening and aborts all connections."""
         if self.listener is not None:
             self.listener.close()
-        for caller in list(self.connections):
-            caller.abort()
+        for connection in list(self.connections):
+            connection.abort()
--- a/calicofall/proxy/metrics.py
+++ b/calicofall/proxy/metrics.py
@@ -1,11 +1,11 @@
-"""The metrics that operators read: how requests ended, how many attempts were sent, what is in flight.
+"""The metrics that operators read: requests by final answer, attempts sent, requests in flight.
 
-Counters are raised where the counted thing happens; gauges are read from their owners when asked for.
+Counters are incremented where the counted event happens; gauges are computed when they are read.
 """
 
 from collections.abc import Callable, Iterable
 
-# Final answers, and the names under which operators know them.
+# The final answers of the router, and their names in metrics.
 METRIC_NAMES = {"completed": "answered", "exhausted": "deferred", "errored": "errored"}
 
 
@@ -23,11 +23,11 @@
         counts[method] = counts.get(method, 0) + 1
 
     def totals(self) -> dict[str, int]:
-        """The number of requests by final answer, over all methods."""
+        """Returns the number of requests by final answer, over all methods."""
         return {answer: sum(counts.values()) for answer, counts in self.answer_counts.items()}
 
     def finished_by_method(self) -> dict[str, tuple[int, int]]:
-        """For each method: how many requests have ended, and how many of them were not completed."""
+        """Returns by method: how many requests have finished, and how many of them were not completed."""
         finished: dict[str, tuple[int, int]] = {}
         methods = dict.fromkeys(method for counts in self.answer_counts.values() for method in counts)
         for method in methods:
@@ -37,7 +37,7 @@
         return finished
 
     def format_lines(self) -> list[str]:
-        """All metrics as statsd lines: `|c` a counter, `|g` a gauge."""
+        """Returns all metrics as statsd lines; `|c` marks a counter, `|g` a gauge."""
         counter_lines = [
             f"proxy.{METRIC_NAMES[answer]}.{method}:{count}|c"
             for answer, counts in self.answer_counts.items()
--- a/calicofall/proxy/process_lock.py
+++ b/calicofall/proxy/process_lock.py
@@ -1,10 +1,10 @@
-"""Tells of other processes of the same proxy, by files that each locks for as long as it lives.
+"""Detects other processes of the same proxy by files, each of which is locked while its process runs.
 
-All processes of a proxy have a file in one folder under $TMPDIR. A file that nobody has locked was left
-behind by a process that was killed, and is removed by whoever sees it.
+All processes of a proxy have a file in one folder under $TMPDIR. An unlocked file was left behind by a
+process that was killed, and the first process that finds it removes it.
 
-Invariants: no call waits for a lock; without a lock (a full or missing folder) the proxy serves as if it were
-alone.
+Invariants: no call blocks on a lock; a process that cannot create its lock file because the folder is
+missing or the disk is full serves as if it were the only one.
 """
 
 import fcntl
@@ -22,10 +22,10 @@
 
 
 class ProcessLock:
-    """The lock of this process, and what is known of the other processes of its proxy.
+    """The lock of this process, and the number of other processes of its proxy.
 
     Args:
-        name: Names the proxy; its processes share it.
+        name: The proxy's name, which all its processes share.
         folder: The folder for temporary files.
     """
 
@@ -42,14 +42,14 @@
             self._log_failure(error)
 
     def mark_serving(self) -> None:
-        """Tells the other processes that this one serves."""
+        """Marks this process as serving, for the other processes."""
         if self.descriptor >= 0:
-            with suppress(OSError):  # on a full file system the others take this process for one that starts
+            with suppress(OSError):  # if the file system is full, the others see this process as starting
                 self._write_state(SERVING_STATE)
 
     def refresh(self) -> bool:
-        """Counts the other processes anew; whether their number has changed."""
-        before = self.other_process_count
+        """Counts the other processes again; returns whether their number has changed."""
+        previous_count = self.other_process_count
         self.other_process_count = 0
         self.serving_process_count = 0
         try:
@@ -59,15 +59,15 @@
                     self._inspect(path)
         except OSError as error:
             self._log_failure(error)
-        return self.other_process_count != before
+        return self.other_process_count != previous_count
 
     def release(self) -> None:
-        """Gives up the lock and removes its file."""
+        """Releases the lock and removes its file."""
         if self.descriptor >= 0:
             with suppress(OSError):
                 if self.path is not None:
                     os.unlink(self.path)
-                os.rmdir(self.folder)  # fails while another process has a file there
+                os.rmdir(self.folder)  # fails while another process has a file in it
             os.close(self.descriptor)
         self.descriptor = -1
         self.path = None
@@ -76,7 +76,7 @@
         for attempt in range(MAX_ATTEMPTS):
             if self._try_create(is_last=attempt == MAX_ATTEMPTS - 1):
                 return
-        raise OSError("taken away")
+        raise OSError(f"lock file was removed by another process at each of {MAX_ATTEMPTS} attempts")
 
     def _try_create(self, is_last: bool) -> bool:
         try:
@@ -86,7 +86,7 @@
         except FileNotFoundError:
             if is_last:
                 raise
-            return False  # another process has just left and removed the folder
+            return False  # another process has just ended and removed the folder
         try:
             if self._lock(self.path):
                 return True
@@ -99,7 +99,7 @@
         return False
 
     def _lock(self, path: str) -> bool:
-        """Locks the new file; False if another process has removed it as abandoned before it was locked."""
+        """Locks the new file; returns False if another process removed it as abandoned before the lock."""
         fcntl.flock(self.descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         self._write_state(STARTING_STATE)
         return os.stat(path).st_ino == os.fstat(self.descriptor).st_ino
@@ -108,7 +108,7 @@
         os.pwrite(self.descriptor, state, 0)
 
     def _inspect(self, path: str) -> None:
-        """Counts the process that holds a file, or removes the file if none does."""
+        """Counts the process that has locked a file, or removes the file if it is unlocked."""
         try:
             descriptor = os.open(path, os.O_RDONLY)
         except FileNotFoundError:
--- a/calicofall/proxy/reply_parser.py
+++ b/calicofall/proxy/reply_parser.py
@@ -1,10 +1,10 @@
-"""A parser of endpoints' replies that reads out of a ring buffer.
+"""Parser of endpoints' replies, which reads from a ring buffer.
 
-A reply is an array of a value, a note on how it went (or null) and a load report (or null); or an error. A
-value over STREAMED_VALUE_BYTES is handed out as it comes, but for its last bytes, which stand for it once the
-rest of the reply has proved right.
+A reply is an error, or an array of a value, a note on how the endpoint got the value (or null) and a load
+report (or null). A value longer than STREAMING_THRESHOLD_BYTES is returned as it arrives, except its last
+WITHHELD_TAIL_BYTES bytes, which are returned as the reply's value once the rest of the reply is valid.
 
-Invariants: as in `command_parser.py`.
+Invariants: those of `command_parser.py`.
 """
 
 import re
@@ -24,39 +24,40 @@
 
 REPLY_MEMBERS = 3
 MAX_LINE_BYTES = 256
-QUICK_REPLY_BYTES = 1 << 14  # of a reply that is read in one look
-# How the first line of a reply may begin, and the line that announces a bulk string, up to any byte of them.
+SHORT_REPLY_BYTES = 1 << 14  # maximum length of a reply that is parsed in one step
+# Every prefix of a valid first line of a reply, and of a valid line with the length of a bulk string.
 REPLY_HEAD = re.compile(rb"\*(3(\r\n?)?)?|-([A-Z][ -~]{0,200}(\r\n?)?)?")
 BULK_HEAD = re.compile(rb"\$(-(1(\r\n?)?)?|[0-9]{1,7}(\r\n?)?)?")
-QUICK_REPLY_HEAD = re.compile(rb"\*3\r\n\$([0-9]{1,5})\r\n")
+SHORT_REPLY_HEAD = re.compile(rb"\*3\r\n\$([0-9]{1,5})\r\n")
 NOTES = (b"", b"hit", b"miss", b"pending")
-# What follows the value of a reply without a load report, and its note.
-QUICK_REPLY_TAILS = {
+# The bytes after the value of a reply without a load report, and the note that they contain.
+SHORT_REPLY_TAILS = {
     b"\r\n" + (b"$%d\r\n%b" % (len(note), note) if note else b"$-1") + b"\r\n$-1\r\n": note for note in NOTES
 }
 
 
 class ReplyParser:
-    """Reads one reply after the other; what has come of a reply is kept until it is whole."""
+    """Reads one reply after the other and keeps the received part of a reply until it is complete."""
 
     def __init__(self, ring: RingBuffer) -> None:
         self.ring = ring
-        self.array: list[bytes | None] | None = None  # the members that have come
-        self.bulk_size = -1  # of the bulk string that is coming
-        self.stream_bytes_left = 0  # of a long value, to be taken as they come
+        self.array: list[bytes | None] | None = None  # members received so far; None before a reply's head
+        self.bulk_size = -1  # of the bulk string that is being received; -1 outside a bulk string
+        self.stream_bytes_left = 0  # of a long value, still to be returned by `take_streamed_bytes`
 
     def read(self) -> Value | Incomplete:
-        """The next reply: a list of three, or an ErrorReply; INCOMPLETE, or STREAM_BEGUN for a long value.
+        """Returns the next reply: a list of three members or an ErrorReply.
 
-        Of a value that was streamed, its held back end stands for the value.
+        Returns INCOMPLETE while the reply is incomplete, and STREAM_STARTED once at the beginning of a long
+        value. The first member of a reply whose value was streamed is the withheld end of the value.
 
         Raises:
-            ProtocolError: The input is no reply, or is too large.
+            ProtocolError: The input is not a reply or is too large.
         """
         if self.stream_bytes_left:
             return INCOMPLETE
-        if self.bulk_size < 0 and self.array is None and len(self.ring) <= QUICK_REPLY_BYTES:
-            reply = self._read_quick()
+        if self.bulk_size < 0 and self.array is None and len(self.ring) <= SHORT_REPLY_BYTES:
+            reply = self._read_short_reply()
             if reply is not None:
                 return reply
         while True:
@@ -73,37 +74,40 @@
                 return value
 
     def take_streamed_bytes(self) -> bytes:
-        """Removes and returns what has come of a long value, but for the bytes to be held back."""
+        """Removes and returns the received bytes of a long value, except the bytes to be withheld."""
         data = self.ring.take(min(self.stream_bytes_left, len(self.ring)))
         self.stream_bytes_left -= len(data)
         self.ring.reserve(min(STREAMING_THRESHOLD_BYTES, self.stream_bytes_left + WITHHELD_TAIL_BYTES))
         return data
 
     def has_partial_message(self) -> bool:
-        """Whether a reply has begun and not ended."""
+        """Whether a reply has been received in part."""
         return self.array is not None or len(self.ring) > 0
 
     def reply_without_load_report(self) -> list[bytes | None] | None:
-        """A reply of which only the load report is missing; None if there is none."""
+        """Returns the current reply with a null load report if only that is missing, else None."""
         if self.array is None or len(self.array) != REPLY_MEMBERS - 1:
             return None
         return [*self.array, None]
 
-    def _read_quick(self) -> list[bytes | None] | None:
-        """A reply without a load report that has come whole, in one look: most do."""
-        data = self.ring.peek(QUICK_REPLY_BYTES)
-        head = QUICK_REPLY_HEAD.match(data)
+    def _read_short_reply(self) -> list[bytes | None] | None:
+        """Parses a short, complete reply without a load report in one step; returns None for other input.
+
+        Most replies arrive in this form.
+        """
+        data = self.ring.peek(SHORT_REPLY_BYTES)
+        head = SHORT_REPLY_HEAD.match(data)
         if head is None:
             return None
         value_end = head.end() + int(head[1])
-        note = QUICK_REPLY_TAILS.get(data[value_end:])
+        note = SHORT_REPLY_TAILS.get(data[value_end:])
         if note is None:
             return None
         self.ring.drop(len(data))
         return [data[head.end() : value_end], note or None, None]
 
     def _read_head(self) -> ErrorReply | Incomplete | None:
-        """Reads the first line of a reply; None once it has opened the array."""
+        """Reads the first line of a reply; returns None if it is the head of an array."""
         line = self._read_line(REPLY_HEAD)
         if line is None:
             return INCOMPLETE
@@ -113,9 +117,9 @@
         return None
 
     def _read_member(self, array: list[bytes | None]) -> Incomplete | None:
-        """Reads on towards the next member; None if a step was made."""
+        """Reads the next part of a member; returns None if it made progress, else why reading stops."""
         if self.bulk_size > STREAMING_THRESHOLD_BYTES and not array:
-            return self._begin_stream()
+            return self._start_stream()
         if self.bulk_size >= 0:
             return self._read_bulk(array)
         line = self._read_line(BULK_HEAD)
@@ -123,18 +127,20 @@
             return INCOMPLETE
         self.bulk_size = int(line[1:])
         if self.bulk_size > MAX_VALUE_BYTES:
-            raise ProtocolError("too large")
+            raise ProtocolError(
+                f"bulk string of {self.bulk_size} bytes exceeds the maximum of {MAX_VALUE_BYTES} bytes"
+            )
         if self.bulk_size >= 0:
             self.ring.reserve(min(STREAMING_THRESHOLD_BYTES, self.bulk_size) + 2)
         elif not array:
-            raise ProtocolError("no value")
+            raise ProtocolError("reply has null as its value")
         else:
             array.append(None)
         return None
 
-    def _begin_stream(self) -> Incomplete:
+    def _start_stream(self) -> Incomplete:
         if not len(self.ring):
-            return INCOMPLETE  # with the head alone another endpoint can still answer
+            return INCOMPLETE  # until a byte of the value arrives, another endpoint can still answer
         self.stream_bytes_left = self.bulk_size - WITHHELD_TAIL_BYTES
         self.bulk_size = WITHHELD_TAIL_BYTES
         return STREAM_STARTED
@@ -142,7 +148,7 @@
     def _read_bulk(self, array: list[bytes | None]) -> Incomplete | None:
         end = self.ring.peek(2, self.bulk_size) if len(self.ring) > self.bulk_size else b""
         if not b"\r\n".startswith(end):
-            raise ProtocolError("a bulk string of another length than announced")
+            raise ProtocolError(f"bulk string of {self.bulk_size} bytes is not followed by a line end")
         if len(end) < 2:
             return INCOMPLETE
         array.append(self.ring.take(self.bulk_size))
@@ -151,15 +157,15 @@
         return None
 
     def _read_line(self, pattern: re.Pattern[bytes]) -> bytes | None:
-        """The next line with its end; None if it has not come whole.
+        """Returns the next line with its line end, or None if it is incomplete.
 
         Raises:
-            ProtocolError: What has come can't be the beginning of such a line.
+            ProtocolError: The received bytes are not the beginning of a line of this pattern.
         """
         line = self.ring.peek(MAX_LINE_BYTES)
         line = line[: line.find(b"\n") + 1] or line
         if line and not pattern.fullmatch(line):
-            raise ProtocolError(f"no reply: {line[:20]!r}")
+            raise ProtocolError(f"expected a line of a reply, found {line[:20]!r}")
         if line[-1:] != b"\n":
             return None
         self.ring.drop(len(line))
--- a/calicofall/proxy/resp.py
+++ b/calicofall/proxy/resp.py
@@ -1,17 +1,17 @@
-"""RESP2: the values of the protocol, and how they are written.
+"""Value types and encoders of RESP2, as the RESP2 protocol specification defines them.
 
-The parsers stand in `command_parser.py` and `reply_parser.py`. Source: the RESP2 protocol specification.
+The parsers are in `command_parser.py` and `reply_parser.py`.
 """
 
 from typing import Any
 
 MAX_VALUE_BYTES = 4 << 20
-STREAMING_THRESHOLD_BYTES = 1 << 16  # over which a reply's value is passed on as it comes
-WITHHELD_TAIL_BYTES = 1 << 10  # of a streamed value, until the rest of its reply has proved right
+STREAMING_THRESHOLD_BYTES = 1 << 16  # a longer value of a reply is forwarded while it is being received
+WITHHELD_TAIL_BYTES = 1 << 10  # end of a streamed value, withheld until the rest of its reply is valid
 
 
 class ProtocolError(Exception):
-    """Input that is no RESP2, or is too large; framing is lost."""
+    """The input is not RESP2 or is too large; the start of the next value is unknown."""
 
 
 class SimpleString(bytes):
@@ -23,26 +23,26 @@
 
 
 class Incomplete:
-    """Stands for a value that has not come whole."""
+    """Type of the results that a parser returns in place of a complete value."""
 
 
 INCOMPLETE = Incomplete()
-STREAM_STARTED = Incomplete()  # the head of a long reply is right; its value is to be taken as it comes
+STREAM_STARTED = Incomplete()  # the head of a long reply is valid; its value is to be read as it arrives
 Value = bytes | int | list[Any] | None
 
 
 def encode_bulk(value: bytes) -> bytes:
-    """A bulk string."""
+    """Encodes a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 def encode_command(parts: list[bytes]) -> bytes:
-    """An array of bulk strings."""
+    """Encodes a command as an array of bulk strings."""
     return b"*%d\r\n%b" % (len(parts), b"".join(map(encode_bulk, parts)))
 
 
 def encode_command_chunks(parts: list[bytes]) -> list[bytes]:
-    """A command in pieces to be written in order, so that a long value at its end is not copied."""
+    """Encodes a command as chunks to be written in order, so that a long last part is not copied."""
     if len(parts[-1]) <= STREAMING_THRESHOLD_BYTES:
         return [encode_command(parts)]
     leading_parts = b"".join(map(encode_bulk, parts[:-1]))
@@ -51,10 +51,10 @@
 
 
 def encode_simple_string(text: str) -> bytes:
-    """A simple string."""
+    """Encodes a simple string."""
     return b"+%b\r\n" % text.encode()
 
 
 def encode_error(text: str) -> bytes:
-    """An error reply."""
+    """Encodes an error reply."""
     return b"-%b\r\n" % text.encode()
--- a/calicofall/proxy/upstream.py
+++ b/calicofall/proxy/upstream.py
@@ -1,8 +1,8 @@
-"""The endpoints as the proxy sees them: the list, a pool of connections for each, commands and outcomes.
+"""The proxy's side of the endpoints: their list, a pool of connections to each, commands and outcomes.
 
-Invariants: no command is sent twice; an outcome says that a command has not run only if that is proven: the
-endpoint turned it away, or the connection failed or broke before its last byte left. Which endpoint a command
-goes to is the router's to say.
+Invariants: no command is sent twice; an outcome says that a command has not run only if that is certain: the
+endpoint rejected it, or its connection failed or was closed before its last byte was sent. The router chooses
+the endpoint of a command.
 """
 
 import asyncio
@@ -25,10 +25,9 @@
 MAX_CONNECTIONS_PER_ENDPOINT = 32
 DEFAULT_CONNECT_TIMEOUT_MS = 1000.0
 DEFAULT_IDLE_TIMEOUT_MS = 30_000.0
-IDLE_TIMEOUT_FRACTION = (
-    0.9  # of the time after which an endpoint closes an idle connection, when ours is closed
-)
-LOG_INTERVAL_S = 10.0  # between two lines about malformed replies
+# The proxy closes an idle connection after this fraction of the time after which the endpoint does.
+IDLE_TIMEOUT_FRACTION = 0.9
+LOG_INTERVAL_S = 10.0  # between two log lines about malformed replies
 log = logging.getLogger("calicofall")
 
 
@@ -38,19 +37,19 @@
     Args:
         loop: The event loop.
         caps: Settings of connections, times in ms.
-        max_connections: To all endpoints together.
+        max_connections: Maximum number of connections to all endpoints together.
         preconnect_enabled: Whether connections are opened before they are needed.
         open_connection: Opens a connection, as `connection.open_connection` does.
-        find_sink: Called with a command, the size of its long answer and what asks for more of it; gives who
-            takes the answer as it comes.
-        on_streaming: Called when some of a long answer is about to be passed on.
+        find_sink: Called with a command, the size of its long answer and a function that requests more of the
+            answer; returns the sink that the answer is forwarded to as it arrives, or None.
+        on_streaming: Called when the first bytes of a long answer are about to be forwarded.
         on_outcome: Called once for each command, with outcome, answer, note and load report.
-        metrics: Where commands that have left are counted.
-        connection_quotas: This proxy's part of the handshakes and connections that endpoints bear.
-        common_clock_offset_s: From the loop's clock to the one that proxies have in common.
+        metrics: Counts the commands that have been sent.
+        connection_quotas: This proxy's share of the endpoints' limits for handshakes and connections.
+        common_clock_offset_s: Offset of the clock that all proxies share from the loop's clock (s).
     """
 
-    def __init__(  # noqa: PLR0913 - the proxy's own parts, given once
+    def __init__(  # noqa: PLR0913 - parts of the proxy, passed once
         self,
         loop: asyncio.AbstractEventLoop,
         caps: Mapping[str, Any],
@@ -81,22 +80,20 @@
         self.idle_timeout_s = (
             (caps.get("conn_idle") or DEFAULT_IDLE_TIMEOUT_MS) / 1000.0 * IDLE_TIMEOUT_FRACTION
         )
-        self.may_send: Callable[[UpstreamCommand], bool] = (
-            lambda command: True
-        )  # asked right before it leaves
-        self.shared_budget_has_capacity: Callable[[], bool] = (
-            lambda: True
-        )  # of the budget shared with clients
-        self.in_flight_quota: InFlightQuota | None = None  # where the settings bound what is in flight
+        # Called right before a command is written.
+        self.may_send: Callable[[UpstreamCommand], bool] = lambda command: True
+        # Whether the budget of descriptors shared with clients allows one more connection.
+        self.shared_budget_has_capacity: Callable[[], bool] = lambda: True
+        self.in_flight_quota: InFlightQuota | None = None  # None if the settings set no limit
         self.pools: dict[str, ConnectionPool] = {}
         self.max_connections_per_endpoint = self.max_connections
-        self.entries: dict[str, tuple[Any, ...]] = {}  # of the list, as it came
+        self.entries: dict[str, tuple[Any, ...]] = {}  # of the list, as received
         self.endpoint_names: set[str] = set()  # in the list, ready or draining
-        self.malformed_count = 0  # since the last line about them
+        self.malformed_count = 0  # malformed replies since the last log line about them
         self.next_log_at = 0.0
 
     def log_malformed_reply(self, name: str, reason: str) -> None:
-        """Logs that an endpoint's reply was malformed, in few lines however many there are."""
+        """Logs malformed replies, at most one line per interval with their number."""
         self.malformed_count += 1
         if self.loop.time() >= self.next_log_at:
             log.warning(
@@ -106,35 +103,35 @@
             self.next_log_at = self.loop.time() + LOG_INTERVAL_S
 
     def connection_count(self) -> int:
-        """Connections to all endpoints, also those that wait to be opened."""
+        """Returns the number of connections to all endpoints, including those not opened yet."""
         return sum(len(pool.connections) for pool in self.pools.values())
 
     def has_capacity(self) -> bool:
-        """Whether one more connection may be opened; the longest idle one goes for it if need be."""
+        """Whether one more connection may be opened; closes the longest idle one for it if necessary."""
         self.close_idle_over(self.max_connections - 1)
         return self.connection_count() < self.max_connections and self.shared_budget_has_capacity()
 
     def close_idle_over(self, max_count: int) -> None:
-        """Closes idle connections over a number of connections, the longest idle first."""
+        """Closes idle connections until at most `max_count` connections are left, the longest idle first."""
         excess = self.connection_count() - max_count
         if excess > 0:
-            idle = [one for pool in self.pools.values() for one in pool.connections if one.is_idle]
-            for connection in sorted(idle, key=lambda one: one.idle_since)[:excess]:
+            idle = [c for pool in self.pools.values() for c in pool.connections if c.is_idle]
+            for connection in sorted(idle, key=lambda c: c.idle_since)[:excess]:
                 connection.abort()
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Sets another budget of connections."""
+        """Sets the budget of connections to all endpoints together."""
         self.max_connections = max(1, max_connections)
         self.divide_connection_budget()
         self.close_idle_over(self.max_connections)
 
     def divide_connection_budget(self) -> None:
-        """Divides the budget of connections among the endpoints there are."""
+        """Divides the budget of connections equally among the endpoints."""
         share = self.max_connections // max(1, len(self.pools))
         self.max_connections_per_endpoint = max(1, min(MAX_CONNECTIONS_PER_ENDPOINT, share))
 
     def on_endpoint_list(self, kind: str, entries: list[tuple[Any, ...]], addresses: dict[str, str]) -> None:
-        """Takes over a list, or changes of it where `kind` is "delta"."""
+        """Applies a complete endpoint list, or the changes of the list if `kind` is "delta"."""
         if kind != "delta":
             self.endpoint_names.clear()
             self.entries.clear()
@@ -156,15 +153,15 @@
             pool.preconnect()
 
     def endpoint_states(self) -> dict[str, str]:
-        """The state of each endpoint in the list."""
+        """Returns the state of each endpoint in the list."""
         return {name: entry[4] for name, entry in self.entries.items()}
 
     def endpoint_list(self, version: int | None) -> dict[str, Any]:
-        """The list that is in force, in discovery's form."""
+        """Returns the current list in the format of the discovery service."""
         addresses = {name: pool.address for name, pool in self.pools.items()}
         return format_endpoint_list(version, list(self.entries.values()), addresses)
 
-    def send(  # noqa: PLR0913 - an object for each attempt would cost time
+    def send(  # noqa: PLR0913 - creating an object for each attempt would cost time
         self,
         name: str,
         active_request: Any,
@@ -177,18 +174,18 @@
     ) -> UpstreamCommand:
         """Sends an attempt's command to an endpoint.
 
-        A connection whose turn to be opened comes too late is not waited for: the outcome is then "held",
-        which says that the command has not run and that the endpoint is not to blame.
+        If a connection could be opened only in a handshake slot that is too late, the outcome is "held": the
+        command has not run, and the endpoint did not cause the failure.
 
         Args:
-            name: The endpoint.
-            active_request: What the proxy knows of the request.
-            attempt_index: The attempt's index among those of its request.
-            render: The command's bytes in pieces, by how long is left for its answer (ms).
-            now_ms: The proxy's clock.
-            timeout_ms: How long the answer is waited for.
-            request_left_ms: Until the request is over.
-            objective_left_ms: Until the request's latency objective.
+            name: The endpoint's name.
+            active_request: The proxy's state of the request.
+            attempt_index: The attempt's index among the attempts of its request.
+            render: Returns the command's bytes in chunks; its argument is the time left for the answer (ms).
+            now_ms: The current time (ms, the proxy's clock).
+            timeout_ms: The attempt's timeout.
+            request_left_ms: Time until the request's deadline.
+            objective_left_ms: Time until the request's latency objective.
         """
         began = self.loop.time()
         answer_due_at = began + max(0.0, timeout_ms) / 1000.0
@@ -216,11 +213,11 @@
         return command
 
     def on_timeout(self, command: UpstreamCommand) -> None:
-        """A command's answer is overdue: it is given up, if it can be called off."""
+        """A command's answer is overdue: cancels it, or waits until the deadline if it can't be cancelled."""
         connection = command.connection
         left_s = command.request_due_at - self.loop.time()
-        # On a connection where others wait it can't be called off, and would be in flight still while the
-        # request's next attempt is sent to another endpoint.
+        # With other commands pending on the connection, this one can't be cancelled. It would still be in
+        # flight while the request's next attempt is sent to another endpoint.
         if left_s > 0.0 and connection is not None and connection.shares_connection(command):
             command.timer = self.loop.call_later(left_s, self.cancel_command, command, "timeout")
             connection.overdue = True
@@ -228,18 +225,18 @@
             self.cancel_command(command, "timeout")
 
     def cancel_command(self, command: UpstreamCommand, outcome: str) -> None:
-        """Gives a command up: closes its connection, unless all of it has left and others wait there."""
+        """Cancels a command by closing its connection, unless it was sent and shares the connection."""
         if command.finished:
             return
         connection = command.connection
         if connection is None:
-            outcome = "held"  # it was never written, and the endpoint is not to blame
+            outcome = "held"  # it was never written, and the endpoint did not cause this
         elif not connection.closed:
-            outcome = self._call_off(command, connection, outcome)
+            outcome = self._withdraw(command, connection, outcome)
         self.finish(command, outcome)
 
     def start_streaming(self, command: UpstreamCommand, connection: UpstreamConnection, size: int) -> None:
-        """The head of a long answer is right: from here on only a stall ends it."""
+        """The head of a long answer is valid: from here on only a stall ends the command, not its timeout."""
         if not command.finished:
             command.timer.cancel()
             command.sink = self.find_sink(command, size, connection.resume_streaming)
@@ -252,10 +249,10 @@
         note: str | None = None,
         load: dict[str, float] | None = None,
     ) -> None:
-        """Tells the outcome of a command, once; counts it as in flight no longer if it has ended."""
+        """Reports a command's outcome once, and ends its count as in flight when its reply is not pending."""
         connection = command.connection
         quota = self.in_flight_quota
-        # A command that is given up while others wait behind it stays in flight until its reply has come.
+        # A command that is cancelled while others are pending behind it is in flight until its reply arrives.
         has_ended = connection is None or connection.closed or command not in connection.pending
         if command.in_flight_endpoint and has_ended and quota is not None:
             quota.end(self.loop.time(), command.in_flight_endpoint)
@@ -265,14 +262,17 @@
         command.finished = True
         command.timer.cancel()
         if command.sink is not None and connection is not None and not connection.closed:
-            self.loop.call_soon(connection.resume_streaming)  # nobody takes the rest: it is read past
+            self.loop.call_soon(connection.resume_streaming)  # the rest of the answer is read and discarded
         self.on_outcome(command, outcome, answer, note, load)
 
     def close_expired_idle(self) -> None:
-        """Closes idle connections before the endpoints do: a command sent to a closed one may have run."""
-        oldest = self.loop.time() - self.idle_timeout_s
+        """Closes idle connections before the endpoints do.
+
+        Of a command sent on a connection that the endpoint is closing, it is unknown whether it has run.
+        """
+        idle_before = self.loop.time() - self.idle_timeout_s
         for pool in self.pools.values():
-            pool.close_idle(oldest)
+            pool.close_idle(idle_before)
 
     def close_idle(self, name: str) -> None:
         """Closes the idle connections to an endpoint."""
@@ -301,21 +301,21 @@
             address: tuple[str, int] | None = parse_address(addresses[name])
         except (KeyError, ValueError):
             address = pool.address
-        if address != pool.address:  # the name has moved: what waits for the old address is not sent there
+        if address != pool.address:  # the endpoint has moved: no pending command is sent to the old address
             pool.close_unused()
             pool.address = address
 
     @staticmethod
-    def _call_off(command: UpstreamCommand, connection: UpstreamConnection, outcome: str) -> str:
-        """Keeps a command that is given up from leaving, if it can be done; the outcome to tell."""
+    def _withdraw(command: UpstreamCommand, connection: UpstreamConnection, outcome: str) -> str:
+        """Prevents a cancelled command from being sent, if possible; returns the outcome to report."""
         if not connection.is_open:
             connection.pending.remove(command)
-            return "moot"  # never written; the connection may come up and serve the next command
+            return "moot"  # never written; the connection may still open and carry the next command
         if connection.shares_connection(command):
             connection.overdue = connection.overdue or outcome == "timeout"
             return outcome
-        # No byte of it may leave any more, and what is still queued goes only with the connection. It is
-        # removed first, so that the abort does not tell its outcome.
+        # No further byte of the command may be sent, and its queued bytes can only be discarded by closing
+        # the connection. The command is removed first, so that the abort reports no outcome for it.
         connection.pending.remove(command)
         connection.abort()
         connection.pool.preconnect()
--- a/calicofall/proxy/upstream_command.py
+++ b/calicofall/proxy/upstream_command.py
@@ -1,4 +1,4 @@
-"""A command that carries one attempt of a request to an endpoint, from its decision to its outcome."""
+"""The command with which one attempt of a request is sent to an endpoint, until its outcome is known."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,25 +9,26 @@
 
 
 class AnswerSink(Protocol):
-    """Where a long answer is passed on to as it comes."""
+    """The destination of a long answer that is forwarded as it arrives."""
 
     def can_accept_chunk(self) -> bool:
-        """Whether the next piece may be written."""
+        """Whether the next chunk may be written."""
 
     def write_chunk(self, data: bytes) -> None:
-        """Takes the next piece."""
+        """Writes the next chunk."""
 
 
 class UpstreamCommand:
-    """One attempt on its way.
+    """The state of one attempt that is in flight.
 
     Args:
-        active_request: What the proxy knows of the request.
-        attempt_index: The attempt's index among those of its request.
-        render: The command's bytes in pieces, by how long is left for its answer (ms) when they go out.
-        sent_at_ms: When the attempt was decided (ms, the proxy's clock).
-        answer_due_at: Until when its answer is waited for (s, the loop's clock).
-        request_due_at: When its request is over (s, the loop's clock).
+        active_request: The proxy's state of the request.
+        attempt_index: The attempt's index among the attempts of its request.
+        render: Returns the command's bytes in chunks; its argument is the time left for the answer when they
+            are written (ms).
+        sent_at_ms: When the router decided on the attempt (ms, the proxy's clock).
+        answer_due_at: When the attempt times out (s, the loop's clock).
+        request_due_at: The request's deadline (s, the loop's clock).
     """
 
     __slots__ = (
@@ -61,14 +62,14 @@
         self.sent_at_ms = sent_at_ms
         self.answer_due_at = answer_due_at
         self.request_due_at = request_due_at
-        self.end_offset = 0  # where its last byte stands among all that its connection has queued
+        self.end_offset = 0  # offset of the command's end in all bytes queued on its connection
         self.connection: UpstreamConnection | None = None
-        self.timer: asyncio.TimerHandle  # set by who sends it, right after it is made
+        self.timer: asyncio.TimerHandle  # of the timeout; set by the sender right after the construction
         self.finished = False
         self.sink: AnswerSink | None = None  # of a long answer
-        self.streaming = False  # some of the answer has been passed on
-        self.in_flight_endpoint: str | None = None  # the endpoint at which it counts as in flight
+        self.streaming = False  # whether a part of the answer has been forwarded
+        self.in_flight_endpoint: str | None = None  # the endpoint whose quota counts it as in flight
 
     def can_be_withdrawn(self) -> bool:
-        """Whether its last byte has not left, so that it has not run."""
+        """Whether its last byte has not been sent, so that it cannot have run."""
         return self.connection is None or self.connection.never_ran(self)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -22,7 +22,7 @@
 from calicofall.proxy.client_connection import MAX_CONSECUTIVE_ERRORS
 from calicofall.proxy.client_protocol import parse_request_fields
 from calicofall.proxy.clients import IDLE_BUDGET_DIVISOR
-from calicofall.proxy.connection import ACCEPTS_PER_TURN, MAX_DISCARDED_BYTES, Listener
+from calicofall.proxy.connection import ACCEPTS_PER_ITERATION, MAX_DISCARDED_BYTES, Listener
 from calicofall.proxy.connection_pool import MIN_IDLE_CONNECTIONS
 from calicofall.routing.request import Request
 from calicofall.routing.router import Router
@@ -542,14 +542,14 @@
     door._start = lambda plug, stream: taken.append(stream)
     door.resume_accepting()
     watched[0]()
-    assert len(taken) == ACCEPTS_PER_TURN and watched
+    assert len(taken) == ACCEPTS_PER_ITERATION and watched
 
     def full(_plug: object) -> None:
         raise OSError(errno.EMFILE, "too many")
 
     type(door.socket).accept = full
     watched[0]()
-    assert not watched and len(taken) == ACCEPTS_PER_TURN
+    assert not watched and len(taken) == ACCEPTS_PER_ITERATION
     desk.loop.run(0.1)
     assert watched
 
