--- a/calicofall/proxy/client_connection.py
+++ b/calicofall/proxy/client_connection.py
@@ -81,7 +81,7 @@
         self.parser = CommandParser(self.input)
         self.replies: deque[PendingReply] = deque()
         self.reading_paused = False
-        self.ignores_input = False  # after invalid framing, too many invalid commands, or QUIT
+        self.ignores_input = False  # after QUIT, or after an error that closes the connection
         self.consecutive_errors = 0
         self.partial_command_bytes = 0  # memory of an incomplete command
         self.partial_progress_at = 0.0  # when more of it was last received (s, the loop's clock)
--- a/calicofall/proxy/connection.py
+++ b/calicofall/proxy/connection.py
@@ -97,7 +97,10 @@
         self.flush()
 
     def flush(self) -> None:
-        """Passes output to the transport while it accepts any; ends a closing connection after the last."""
+        """Passes output to the transport while it accepts more.
+
+        A closing connection is shut down for writing after the last byte.
+        """
         if self.transport is None or self.closed:
             return
         while len(self.output) and not self.write_paused:
--- a/calicofall/proxy/connection_pool.py
+++ b/calicofall/proxy/connection_pool.py
@@ -101,7 +101,7 @@
         if not self.upstreams.preconnect_enabled or not self.accepts_requests or self.address is None:
             return
         missing = min(
-            MIN_IDLE_CONNECTIONS - sum(not one.pending for one in self.connections),
+            MIN_IDLE_CONNECTIONS - sum(not c.pending for c in self.connections),
             self.upstreams.max_connections_per_endpoint - len(self.connections),
         )
         while missing > 0 and self.add_connection() is not None:
