--- a/calicofall/proxy/connection_pool.py
+++ b/calicofall/proxy/connection_pool.py
@@ -53,18 +53,18 @@
         """Adds a connection if the budgets allow one and its handshake slot is within `max_wait_s`."""
         upstreams = self.upstreams
         quotas = upstreams.connection_quotas
-        max_connections = quotas.most
+        max_connections = quotas.max_connections
         if max_connections is None:
             max_connections = upstreams.max_connections_per_endpoint + SPARE_CONNECTIONS
         address = self.address
         if address is None or len(self.connections) >= max_connections or not upstreams.has_capacity():
             return None
         now = upstreams.loop.time()
-        opens_at = quotas.begin(
+        opens_at = quotas.take_slot(
             self.name, self.order_offset, now, now + upstreams.common_clock_offset_s, max_wait_s > 0.0
         )
         if opens_at > now + max_wait_s:
-            quotas.back(self.name, opens_at)
+            quotas.return_slot(self.name, opens_at)
             return None
         connection = UpstreamConnection(self, address)
         self.connections[connection] = None
@@ -80,10 +80,10 @@
             return
         if connection.opens_at > now:
             upstreams.loop.call_at(connection.opens_at, self.open_when_due, connection)
-        elif upstreams.connection_quotas.lapsed(self.name, connection.opens_at, now):
+        elif upstreams.connection_quotas.is_slot_expired(self.name, connection.opens_at, now):
             # The process was suspended while the connection waited, or the slot is leased to another proxy by
             # now. Without new slots, proxies that resume together would open all their connections at once.
-            connection.opens_at = upstreams.connection_quotas.begin(
+            connection.opens_at = upstreams.connection_quotas.take_slot(
                 self.name, self.order_offset, now, now + upstreams.common_clock_offset_s
             )
             self.open_when_due(connection)
--- a/calicofall/testbed/membership_simulation.py
+++ b/calicofall/testbed/membership_simulation.py
@@ -25,21 +25,21 @@
         for node in self.fleet:
             self.begin(node)
 
-    def build(self, node: SimulatedNode, incarnation: int, chance: Random) -> Membership:
+    def build(self, node: SimulatedNode, incarnation: int, random_generator: Random) -> Membership:
         """A new instance for a node."""
-        return self.make(node.me, incarnation, self.members, node.clock(self.now), chance)
+        return self.make(node.me, incarnation, self.members, node.clock(self.now), random_generator)
 
     def deliver(self, node: SimulatedNode, message: MembershipProbe) -> None:
         """Hands a message to a node's instance, and sends what it returns."""
         instance: Membership = node.instance
-        for to, answer in instance.heard(node.clock(self.now), message):
+        for to, answer in instance.on_message(node.clock(self.now), message):
             self.send(node.me, to, answer)
 
     def away_views(self) -> list[frozenset[int]]:
         """Whom each node that runs holds to be away."""
         running = [node for node in self.fleet if node.me not in self.dead and not node.stopped]
         instances: list[Membership] = [node.instance for node in running]
-        return [instance.away() for instance in instances]
+        return [instance.away_members() for instance in instances]
 
     def time_until_views_equal(self, away: frozenset[int], limit: float, part: float = 1.0) -> float | None:
         """How long (s) until `part` of the running nodes hold exactly these to be away; None: not in time."""
--- a/calicofall/testbed/startup_simulation.py
+++ b/calicofall/testbed/startup_simulation.py
@@ -75,15 +75,15 @@
         self.has_list = False
         self.waits = False  # whether its first attempt has been scheduled
         self.stopped = Span()
-        chance = Random(scenario.seed * 1_000_003 + number)
+        random_generator = Random(scenario.seed * 1_000_003 + number)
         rate = scenario.rate_per_s if scenario.rate_configured else None
         slots = None
         if rate:
             slots = TimeSlots(number, scenario.proxies, rate, 0.0, FIRST_WALL_CLOCK_S + clock_error_s)
-        self.schedule = DiscoverySchedule(chance, scenario.proxies, MAX_BACKOFF_S, slots)
+        self.schedule = DiscoverySchedule(random_generator, scenario.proxies, MAX_BACKOFF_S, slots)
         self.estimate: ContentionEstimate | None = None
         if rate and scenario.peer_messages and scenario.proxies > 1:
-            self.estimate = ContentionEstimate(number, scenario.proxies, rate, chance)
+            self.estimate = ContentionEstimate(number, scenario.proxies, rate, random_generator)
 
 
 class Event(NamedTuple):
@@ -100,10 +100,10 @@
 
     def __init__(self, scenario: StartupScenario) -> None:
         self.scenario = scenario
-        self.chance = Random(scenario.seed)
+        self.random_generator = Random(scenario.seed)
         self.service = DiscoveryModel(scenario.rate_per_s, 10**9)
         self.nodes = [
-            StartingNode(number, scenario, self.chance.uniform(0.0, scenario.clock_difference_s))
+            StartingNode(number, scenario, self.random_generator.uniform(0.0, scenario.clock_difference_s))
             for number in range(scenario.proxies)
         ]
         self.now = 0.0
@@ -117,13 +117,13 @@
     def _schedule_starts(self) -> None:
         scenario = self.scenario
         count = scenario.proxies if scenario.starting is None else scenario.starting
-        starting = set(self.chance.sample(range(scenario.proxies), count))
+        starting = set(self.random_generator.sample(range(scenario.proxies), count))
         for node in self.nodes:
             node.has_list = node.number not in starting
             if scenario.stopped_every and node.number % scenario.stopped_every == 0:
                 node.stopped = scenario.stopped
             if node.number in starting:
-                start_s = self.chance.uniform(0.0, scenario.starts_within_s)
+                start_s = self.random_generator.uniform(0.0, scenario.starts_within_s)
                 self._schedule(start_s, node, partial(self._start, node))
 
     def run(self) -> StartupResult:
@@ -147,19 +147,19 @@
 
     def _send(self, receiver: StartingNode, action: Callable[[], None]) -> None:
         self.datagrams += 1
-        if self.chance.random() >= self.scenario.lost_fraction:
+        if self.random_generator.random() >= self.scenario.lost_fraction:
             self._schedule(self.now + MESSAGE_DELAY_S, receiver, action)
 
     def _start(self, node: StartingNode) -> None:
         estimate = node.estimate
-        if estimate is None or not node.schedule.senses():
-            self._schedule_attempt(node, node.schedule.enter(self.now))
+        if estimate is None or not node.schedule.depends_on_contention():
+            self._schedule_attempt(node, node.schedule.first_attempt_at(self.now))
             return
-        sample, peers = estimate.ask(self.now)
+        sample, peers = estimate.begin_sample(self.now)
         for number in peers:
             peer = self.nodes[number]
             self._send(peer, partial(self._answer, peer, node, estimate, sample))
-        self._schedule(estimate.until, node, partial(self._look_at_sample, node, estimate, sample))
+        self._schedule(estimate.sample_ends_at_s, node, partial(self._look_at_sample, node, estimate, sample))
 
     def _answer(
         self, peer: StartingNode, node: StartingNode, estimate: ContentionEstimate, sample: int
@@ -169,20 +169,20 @@
     def _hear_answer(
         self, node: StartingNode, estimate: ContentionEstimate, sample: int, peer: int, has_list: bool
     ) -> None:
-        estimate.told(sample, peer, has_list)
+        estimate.count_answer(sample, peer, has_list)
         self._look_at_sample(node, estimate, sample)
 
     def _look_at_sample(self, node: StartingNode, estimate: ContentionEstimate, sample: int) -> None:
-        waiting = estimate.known(self.now)
-        if sample == estimate.mark and not node.waits and waiting is not None:
+        waiting = estimate.waiting_fraction(self.now)
+        if sample == estimate.sample_id and not node.waits and waiting is not None:
             node.waits = True
-            self._schedule_attempt(node, node.schedule.enter(self.now, waiting))
+            self._schedule_attempt(node, node.schedule.first_attempt_at(self.now, waiting))
 
     def _schedule_attempt(self, node: StartingNode, at_s: float) -> None:
         self._schedule(max(at_s, self.now), node, partial(self._attempt, node))
 
     def _attempt(self, node: StartingNode) -> None:
-        later_s = node.schedule.due(self.now)
+        later_s = node.schedule.postponed_until(self.now)
         if later_s is not None:
             self._schedule_attempt(node, later_s)
             return
@@ -191,11 +191,11 @@
             self._schedule(self.now + ATTEMPT_TIMEOUT_S, node, partial(self._give_up, node))
             return
         if self.service.ask(self.now) is None:
-            self._schedule_attempt(node, node.schedule.refused(self.now))
+            self._schedule_attempt(node, node.schedule.retry_at_after_refusal(self.now))
             return
         node.has_list = True
-        node.schedule.served()
+        node.schedule.reset_backoff()
         self.lists.append(self.now)
 
     def _give_up(self, node: StartingNode) -> None:
-        self._schedule_attempt(node, node.schedule.broke(self.now))
+        self._schedule_attempt(node, node.schedule.retry_at_after_failure(self.now))
--- a/tests/test_rate_slots.py
+++ b/tests/test_rate_slots.py
@@ -4,7 +4,7 @@
 from random import Random
 
 import pytest
-from helpers import Desk, ask
+from helpers import ProxyHarness, encode_request
 from test_limits import Lending
 from test_quota_leases import owners_restart
 
@@ -16,7 +16,7 @@
     PendingRequest,
     QuotaLeaseMessage,
 )
-from calicofall.fleet.rate_slots import SLOTS, OriginFetchSlots, RateSlots
+from calicofall.fleet.rate_slots import SLOTS_PER_PROXY, OriginFetchSlots, RateSlots
 from calicofall.proxy.quota_enforcement import HANDSHAKE_SLOTS, IN_FLIGHT_LIMIT, ORIGIN_FETCH_SLOTS
 from calicofall.startup import peer_messages
 from calicofall.startup.time_slots import SLOT_LATENESS_S, TimeSlots
@@ -31,10 +31,10 @@
     """An owner uses slots that it has lent."""
 
     def owned_slots(self, now: float) -> list:
-        self.part(now)
+        self.usable_units(now)
         return [
-            *((self.own_id, slot) for slot in range(SLOTS)),
-            *((whom, self.borrowed_slots[mark]) for mark, (whom, _, _) in self.borrowed.items()),
+            *((self.own_id, slot) for slot in range(SLOTS_PER_PROXY)),
+            *((whom, self.borrowed_slots[mark]) for mark, (whom, _, _) in self.borrowed_leases.items()),
         ]
 
 
@@ -42,7 +42,7 @@
     """All leases are of one slot."""
 
     def _choose_slot(self, word: QuotaLeaseMessage) -> int:
-        return self.granted_slots.setdefault((word.sender, word.incarnation, word.mark), 1)
+        return self.granted_slots.setdefault((word.sender, word.incarnation, word.correlation_id), 1)
 
 
 class IgnoresFormerIncarnation(RateSlots):
@@ -56,7 +56,7 @@
 class NeverChecksSlots(RateSlots):
     """A slot is used without a check whether it is over, or still ours."""
 
-    def mine(self, grid: TimeSlots, at: float, now: float) -> bool:
+    def may_use(self, grid: TimeSlots, at: float, now: float) -> bool:
         return True
 
 
@@ -125,9 +125,9 @@
 class IgnoresGainedAt(OriginFetchSlots):
     """Uses slots whose moments were another proxy's."""
 
-    def due(self, now: float) -> float:
-        self.turns.gained_at = -1e9
-        return super().due(now)
+    def due_at(self, now: float) -> float:
+        self.rate_slots.gained_at = -1e9
+        return super().due_at(now)
 
 
 def test_origin_slots_with_changing_leases_are_used_once(
@@ -163,7 +163,8 @@
     simulation.run(14.0)
     got = sum(at >= 11.0 for at in simulation.taken_at) / 3.0
     most = min(
-        400.0, few * 400.0 / fleet * (1.0 + min(MAX_BORROWED_LEASES / SLOTS, 0.75 * (fleet - few) / few))
+        400.0,
+        few * 400.0 / fleet * (1.0 + min(MAX_BORROWED_LEASES / SLOTS_PER_PROXY, 0.75 * (fleet - few) / few)),
     )
     assert got >= 0.9 * most
     simulation.wants = [UNITS // fleet] * fleet
@@ -174,16 +175,20 @@
 
 def test_first_slot_is_never_lent_and_invalid_lease_of_it_is_ignored() -> None:
     turns = RateSlots(0, 0, 5, 4, 0.0, 3.0, 0.01, Random(1))
-    turns.want(turns.total)
+    turns.set_demand(turns.total)
     (whom, asked), *_ = turns.wake(4.0, [1, 2, 3])[0]
-    for which in (0, SLOTS):
-        turns.heard(4.1, QuotaLeaseMessage(False, whom, 9, asked.mark, 0, 1, asked.question, which))
-        assert len(turns.owned_slots(4.1)) == SLOTS
-        turns.asked[asked.mark] = PendingRequest(whom, 1, {asked.question: 4.0})
-    turns.heard(4.1, QuotaLeaseMessage(False, whom, 9, asked.mark, 0, 1, asked.question, 2))
+    for which in (0, SLOTS_PER_PROXY):
+        turns.on_message(
+            4.1, QuotaLeaseMessage(False, whom, 9, asked.correlation_id, 0, 1, asked.request_number, which)
+        )
+        assert len(turns.owned_slots(4.1)) == SLOTS_PER_PROXY
+        turns.pending_requests[asked.correlation_id] = PendingRequest(whom, 1, {asked.request_number: 4.0})
+    turns.on_message(
+        4.1, QuotaLeaseMessage(False, whom, 9, asked.correlation_id, 0, 1, asked.request_number, 2)
+    )
     assert (whom, 2) in turns.owned_slots(4.1)
     lender = RateSlots(0, 1, 6, 4, 0.0, 3.0, 0.01, Random(1))
-    lent = [lender.heard(4.0, QuotaLeaseMessage(True, 0, 5, mark, 0, 3)) for mark in range(5)]
+    lent = [lender.on_message(4.0, QuotaLeaseMessage(True, 0, 5, mark, 0, 3)) for mark in range(5)]
     assert [(word.units, word.slot) for word in lent] == [(1, 1), (1, 2), (1, 3), (0, 0), (0, 0)]
     assert lender.owned_slots(4.0) == {(1, 0)}
 
@@ -198,7 +203,7 @@
     for step in range(4000):
         now = 50.0 + step * 0.003
         for one in ones if now < 54.0 or now > 60.0 else ():
-            if one.due(now) <= now:
+            if one.due_at(now) <= now:
                 one.take(now)
                 sent.append(now)
     assert most_in_span(sent)[0] <= 60.0 * (1.0 + SLOT_LATENESS_S) + 1
@@ -209,115 +214,117 @@
 
 
 def test_in_flight_requests_never_exceed_quota_and_on_average_for_quota_under_one() -> None:
-    chance = Random(4)
-    flights, out = InFlightQuota(3.9, chance), []
+    random_generator = Random(4)
+    flights, out = InFlightQuota(3.9, random_generator), []
     for step in range(3000):
         now = step * 0.01
         out = [end for end in out if end > now or flights.end(now, "c1")]
-        while flights.begin(now, "c1"):
-            out.append(now + chance.uniform(0.01, 0.5))
-        assert len(out) == 3 == flights.most()
-    assert flights.wanted(30.0) > 3.9
-    few, held, ends = InFlightQuota(0.2, chance), 0.0, 0.0
+        while flights.try_begin(now, "c1"):
+            out.append(now + random_generator.uniform(0.01, 0.5))
+        assert len(out) == 3 == flights.max_in_flight()
+    assert flights.demand(30.0) > 3.9
+    few, held, ends = InFlightQuota(0.2, random_generator), 0.0, 0.0
     for step in range(6000):
         now = step * 0.01
         if ends and now >= ends:
             few.end(now, "c1")
             ends = 0.0
-        if not ends and few.begin(now, "c1"):
-            ends = now + chance.uniform(0.01, 0.2)
+        if not ends and few.try_begin(now, "c1"):
+            ends = now + random_generator.uniform(0.01, 0.2)
         held += 0.01 * bool(ends)
     assert 0.15 * 60.0 <= held <= 0.2 * (60.0 + MAX_CREDIT_S) + 0.2
 
 
 def test_endpoint_with_exhausted_quota_is_not_degraded_and_next_one_is_used() -> None:
-    desk = Lending(inFlight=4.0, lendS=None).spacious()
-    assert desk.proxy.upstreams.in_flight_quota.part == 1.0
-    client = desk.client()
+    harness = Lending(inFlight=4.0, lendS=None).with_high_limits()
+    assert harness.proxy.upstreams.in_flight_quota.share == 1.0
+    client = harness.client()
     for _ in range(6):
-        client.feed(ask("read", key=7))
-    desk.loop.run(0.05)
-    counts = [one.out for one in desk.proxy.upstreams.in_flight_quota.caches.values()]
+        client.feed(encode_request("read", key=7))
+    harness.loop.advance(0.05)
+    counts = [one.in_flight for one in harness.proxy.upstreams.in_flight_quota.endpoints.values()]
     assert max(counts) == 1
     assert sum(counts) == 3
-    assert not desk.proxy.router.degraded_endpoints(desk.proxy.now_ms())
+    assert not harness.proxy.router.degraded_endpoints(harness.proxy.now_ms())
 
 
 def test_cancelled_request_is_in_flight_until_its_connection_is_closed() -> None:
-    desk = Lending(inFlight=400.0).spacious()
-    client = desk.client()
-    client.feed(ask("read"))
-    desk.loop.run(0.05)
-    flights = desk.proxy.upstreams.in_flight_quota
-    assert flights.most() == 1
+    harness = Lending(inFlight=400.0).with_high_limits()
+    client = harness.client()
+    client.feed(encode_request("read"))
+    harness.loop.advance(0.05)
+    flights = harness.proxy.upstreams.in_flight_quota
+    assert flights.max_in_flight() == 1
     client.abort()
-    desk.loop.run(3.0)
-    assert flights.most() == 0
+    harness.loop.advance(3.0)
+    assert flights.max_in_flight() == 0
 
 
 def test_lease_that_ends_before_a_request_may_does_not_count() -> None:
-    desk = Lending(inFlight=64.0).spacious()
-    desk.loop.run(4.0)
+    harness = Lending(inFlight=64.0).with_high_limits()
+    harness.loop.advance(4.0)
     limits, flights, one = (
-        desk.limits,
-        desk.proxy.upstreams.in_flight_quota,
+        harness.limits,
+        harness.proxy.upstreams.in_flight_quota,
         peer_messages.name_digest(IN_FLIGHT_LIMIT),
     )
     limits.refresh()
-    own = flights.part
+    own = flights.share
     assert own == pytest.approx(16.0)
     parts = limits.leases[one]
-    parts.borrowed[7] = BorrowedLease(1, UNITS // 8, desk.loop.time() + limits.longest_request_s + 0.5)
+    parts.borrowed_leases[7] = BorrowedLease(
+        1, UNITS // 8, harness.loop.time() + limits.longest_request_s + 0.5
+    )
     limits.refresh()
-    assert flights.part == pytest.approx(24.0)
-    desk.loop.run(0.6)
+    assert flights.share == pytest.approx(24.0)
+    harness.loop.advance(0.6)
     limits.refresh()
-    assert flights.part == pytest.approx(16.0)
-    assert parts.part(desk.loop.time()) > UNITS // 4
+    assert flights.share == pytest.approx(16.0)
+    assert parts.usable_units(harness.loop.time()) > UNITS // 4
 
 
 def test_units_in_flight_are_not_lent() -> None:
-    desk = Lending(inFlight=8.0).spacious()
-    desk.loop.run(4.0)
-    client = desk.client()
+    harness = Lending(inFlight=8.0).with_high_limits()
+    harness.loop.advance(4.0)
+    client = harness.client()
     for key in range(40):
-        client.feed(ask("read", key=key))
-    desk.loop.run(0.02)
-    assert desk.proxy.upstreams.in_flight_quota.most() == 2
-    desk.limits.on_message(
+        client.feed(encode_request("read", key=key))
+    harness.loop.advance(0.02)
+    assert harness.proxy.upstreams.in_flight_quota.max_in_flight() == 2
+    harness.limits.on_message(
         QuotaLeaseMessage(True, 2, 9, 77, peer_messages.name_digest(IN_FLIGHT_LIMIT), UNITS // 8)
     )
-    assert desk.said[-1][1].units == 0
+    assert harness.said[-1][1].units == 0
 
 
 def test_slots_and_in_flight_quota_are_shown_to_operators_and_requested() -> None:
-    desk = Lending(handshakesPerS=4.0, fetchesPerS=2.0, inFlight=64.0).spacious()
-    lines = desk.proxy.handle_call("limits")
+    harness = Lending(handshakesPerS=4.0, fetchesPerS=2.0, inFlight=64.0).with_high_limits()
+    lines = harness.proxy.handle_call("limits")
     assert all(
         f"limit.{name}:part=" in lines for name in (HANDSHAKE_SLOTS, ORIGIN_FETCH_SLOTS, IN_FLIGHT_LIMIT)
     )
-    desk.loop.run(4.0)
-    client = desk.client()
+    harness.loop.advance(4.0)
+    client = harness.client()
     for key in range(30):
-        client.feed(ask("read", key=key))
-    desk.loop.run(0.01)
-    desk.limits.wake()
-    asked = {word.limit for _, word in desk.said}
+        client.feed(encode_request("read", key=key))
+    harness.loop.advance(0.01)
+    harness.limits.wake()
+    asked = {word.limit_id for _, word in harness.said}
     assert peer_messages.name_digest(ORIGIN_FETCH_SLOTS) in asked
 
 
 def test_requests_that_may_need_origin_wait_for_slots() -> None:
-    desk = Lending(fetchesPerS=4.0, lendS=None)  # one a second at this proxy
-    client = desk.client()
-    desk.loop.run(2.0)
-    sends = desk.proxy.metrics.attempts_sent
+    harness = Lending(fetchesPerS=4.0, lendS=None)  # one a second at this proxy
+    client = harness.client()
+    harness.loop.advance(2.0)
+    sends = harness.proxy.metrics.attempts_sent
     for _ in range(8):
-        client.feed(ask("read", key=5))
-    desk.loop.run(0.05)
-    policy = desk.proxy.router.policy
-    assert policy.origin.turn > desk.proxy.now_ms()
-    assert len([c for c in desk.proxy.active_requests.values() if c.command is not None]) <= 1
-    assert desk.proxy.metrics.attempts_sent - sends <= 1
-    untold = Desk()
+        client.feed(encode_request("read", key=5))
+    harness.loop.advance(0.05)
+    policy = harness.proxy.router.policy
+    assert policy.origin_limit.next_start_at > harness.proxy.now_ms()
+    assert len([c for c in harness.proxy.active_requests.values() if c.command is not None]) <= 1
+    assert harness.proxy.metrics.attempts_sent - sends <= 1
+    untold = ProxyHarness()
     assert untold.proxy.router.origin_slots is None
-    assert untold.proxy.router.policy.origin.turn == 0.0
+    assert untold.proxy.router.policy.origin_limit.next_start_at == 0.0
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -38,7 +38,7 @@
 from calicofall.testbed.runner import ScenarioRunner
 from calicofall.testbed.server_models import CacheModel, DiscoveryModel, OriginModel
 
-ROGUES = Path(__file__).with_name("rogues.py")
+FAULTY_PROXY_SCRIPT = Path(__file__).with_name("rogues.py")
 # Tests that start processes of the program run in two rows side by side, each on cores of its own.
 FIRST, SECOND = (pytest.mark.xdist_group(row) for row in PROCESS_GROUPS)
 SMALL = {
@@ -55,7 +55,7 @@
     return scenario.parse_scenario(SMALL | changes, "small")
 
 
-def test_the_end_of_a_life_is_recorded_before_the_next_begins(tmp_path: Path) -> None:
+def test_the_end_of_an_incarnation_is_recorded_before_the_next_begins(tmp_path: Path) -> None:
     """The system told of it later than the next start: a restart passed for a crash."""
 
     async def restart() -> list[str]:
@@ -67,14 +67,14 @@
         )  # later than the process has ended
 
         async def launch(_number: int) -> None:
-            stage.records.lives.append(ProcessEvent(loop.time(), "p0", "launched"))
+            stage.records.process_events.append(ProcessEvent(loop.time(), "p0", "launched"))
 
         stage.launch, stage.processes["p0"] = launch, subprocess.Popen(["sleep", "60"])
         stage.watch("p0", stage.processes["p0"])
         await stage.again("p0", False)
         loop.add_reader = watch
         await asyncio.sleep(0.4)
-        return [life.what for life in stage.records.lives]
+        return [process_event.what for process_event in stage.records.process_events]
 
     assert asyncio.run(restart()) == ["killed", "exited", "launched"]
 
@@ -97,7 +97,7 @@
         ({"cache": {"connections": 2}}, "cache.connections"),
     ],
 )
-def test_a_wrong_drill_is_one_line_and_nothing_starts(changes: dict, field: str, tmp_path: Path) -> None:
+def test_a_wrong_scenario_is_one_line_and_nothing_starts(changes: dict, field: str, tmp_path: Path) -> None:
     def toml(value: object) -> str:
         if isinstance(value, dict):
             return "{" + ", ".join(f"{name} = {toml(item)}" for name, item in value.items()) + "}"
@@ -112,14 +112,14 @@
     assert result.output.count("\n") == 1 and not (tmp_path / "out").exists()
 
 
-def test_files_that_are_no_drill_are_one_line(tmp_path: Path) -> None:
+def test_files_that_are_no_scenario_are_one_line(tmp_path: Path) -> None:
     (tmp_path / "x.toml").write_text("name = [")
     for name, word in ((str(tmp_path / "x.toml"), "no TOML"), ("nowhere", "cold-start")):
         result = CliRunner().invoke(main, ["stage", "run", name])
         assert result.exit_code == 2 and word in result.output and result.output.count("\n") == 1
 
 
-def test_all_ready_drills_are_right_and_listed() -> None:
+def test_all_ready_scenarios_are_right_and_listed() -> None:
     shown = CliRunner().invoke(main, ["stage", "list"]).output
     assert (
         all(
@@ -135,7 +135,7 @@
     assert scenario.names("half", 5, 3, 2) == {"p0", "p2", "p4"}
 
 
-def test_a_drill_drawn_from_a_seed_is_the_same_again_and_is_shrunk_to_what_fails() -> None:
+def test_a_scenario_drawn_from_a_seed_is_the_same_again_and_is_shrunk_to_what_fails() -> None:
     """A failure that needs one event of four, and three proxies."""
     plan = next(
         plan
@@ -161,8 +161,8 @@
 
 
 def test_a_service_begins_no_more_than_its_room() -> None:
-    service, chance = DiscoveryModel(10.0, 1000), Random(1)
-    times = sorted(chance.uniform(0.0, 10.0) for _ in range(600))
+    service, random_generator = DiscoveryModel(10.0, 1000), Random(1)
+    times = sorted(random_generator.uniform(0.0, 10.0) for _ in range(600))
     begun = [at for at in times if service.ask(at) is not None]
     assert 95 <= len(begun) <= 106 and most_in_span(begun)[0] <= 15
     queue = DiscoveryModel(10.0, 1000, queue=20)
@@ -249,7 +249,7 @@
 def seen() -> History:
     """A good second: one read, one order, each answered once."""
     records = History(began=100.0, ended=110.0)
-    records.lives = [ProcessEvent(100.0, "p0", "launched")]
+    records.process_events = [ProcessEvent(100.0, "p0", "launched")]
     records.told = [ListEvent(100.5, "p0", (("c0", "SERVING"), ("c1", "SERVING")), True)]
     records.pongs = [(100.6, "p0")]
     records.tries = [
@@ -300,7 +300,7 @@
         (lambda r: r.sends.append(UpstreamSend(101.5, "p0", "c7", "1", "read", "", 9.0)), "drains"),
         (lambda r: r.falls.append((101.0, "c0")), "cold caches"),
         (lambda r: r.pongs.insert(0, (100.2, "p0")), "door"),
-        (lambda r: r.lives.append(ProcessEvent(101.0, "p0", "exited", 1)), "crash"),
+        (lambda r: r.process_events.append(ProcessEvent(101.0, "p0", "exited", 1)), "crash"),
         (lambda r: r.asked.extend(DiscoveryCall(101.0 + i / 100, "p0", "asked") for i in range(9)), "asks"),
         (
             lambda r: r.hands.extend(
@@ -315,14 +315,14 @@
         (lambda r: r.fetches.extend((101.0, 102.0) for _ in range(4)), "fetches"),
     ],
 )
-def test_the_referee_finds_each_break(fault: object, rule: str) -> None:
+def test_the_checker_finds_each_break(fault: object, rule: str) -> None:
     records = seen()
     fault(records)
     must = {"asks_per_room": 1.5, "handshakes": 6.0, "connections": 8, "fetches": 3}
     assert rules(records, must=must) == {rule}
 
 
-def test_the_referee_finds_a_cold_cache_that_all_push() -> None:
+def test_the_checker_finds_a_cold_cache_that_all_push() -> None:
     records = seen()
     records.cold = {"c0": [101.0]}
     records.tries += [ClientAttempt(101.0, "p0", f"x{i}", "read", 5.0) for i in range(9000)]
@@ -345,7 +345,7 @@
 def test_what_a_dead_or_stopped_proxy_owed_is_not_judged() -> None:
     records = seen()
     records.answers.clear()
-    records.lives.append(ProcessEvent(101.02, "p0", "killed"))
+    records.process_events.append(ProcessEvent(101.02, "p0", "killed"))
     verdict = check_history(small(), records)
     assert not verdict.findings and verdict.figures["tries_exempt"] == 2
 
@@ -521,8 +521,11 @@
             {"at": 0.0, "until": 5.5, "do": "cut", "who": "p2,p8", "to": "list", "way": "back"},
         ],
     )
-    commands = {number: [sys.executable, str(ROGUES), name, "serve"] for number, name in enumerate(CAUGHT)}
-    os.environ["PYTHONPATH"] = str(ROGUES.parent.parent)
+    commands = {
+        number: [sys.executable, str(FAULTY_PROXY_SCRIPT), name, "serve"]
+        for number, name in enumerate(CAUGHT)
+    }
+    os.environ["PYTHONPATH"] = str(FAULTY_PROXY_SCRIPT.parent.parent)
     verdict, _ = played(plan, tmp_path, commands=commands)
     found: dict[str, set[str]] = {}
     for finding in verdict.findings:
@@ -544,7 +547,7 @@
         "fetches_per_s": 10.0,
         "in_flight": 10.0,
     }
-    for rogue, rule, changes in (
+    for variant, rule, changes in (
         ("asks_at_once", "asks", {"service": {"room": 4.0}}),
         ("opens_beyond_share", "handshakes", {"service": {"room": 100.0}}),
         (
@@ -578,10 +581,12 @@
             must=must,
             **{"traffic": {"per_s": 150.0}, "cache": {"handshakes": 20.0, "connections": 20}} | changes,
         )
-        commands = {number: [sys.executable, str(ROGUES), rogue, "serve"] for number in range(10)}
-        os.environ["PYTHONPATH"] = str(ROGUES.parent.parent)
-        verdict, _ = played(plan, tmp_path / rogue, commands=commands)
-        assert not verdict.void and rule in {finding.rule for finding in verdict.findings}, rogue
+        commands = {
+            number: [sys.executable, str(FAULTY_PROXY_SCRIPT), variant, "serve"] for number in range(10)
+        }
+        os.environ["PYTHONPATH"] = str(FAULTY_PROXY_SCRIPT.parent.parent)
+        verdict, _ = played(plan, tmp_path / variant, commands=commands)
+        assert not verdict.void and rule in {finding.rule for finding in verdict.findings}, variant
 
 
 AGREEING = {
@@ -621,11 +626,11 @@
 
 @FIRST
 def test_a_proxy_that_ignores_its_lease_is_found(tmp_path: Path) -> None:
-    os.environ["PYTHONPATH"] = str(ROGUES.parent.parent)
-    rogue = [sys.executable, str(ROGUES), "ignores_its_lease", "serve"]
+    os.environ["PYTHONPATH"] = str(FAULTY_PROXY_SCRIPT.parent.parent)
+    command = [sys.executable, str(FAULTY_PROXY_SCRIPT), "ignores_its_lease", "serve"]
     # The stopped one has five seconds of orders from when it is woken; in two seconds it may have none.
     plan = scenario.parse_scenario(AGREEING | {"seconds": 19.0}, "agreeing")
-    verdict, _ = played(plan, tmp_path, commands={0: rogue, 3: rogue})
+    verdict, _ = played(plan, tmp_path, commands={0: command, 3: command})
     assert {finding.proxy for finding in verdict.findings if finding.rule == "versions"} == {"p0", "p3"}
 
 
@@ -647,9 +652,9 @@
         "must": {"halted_s": 6.0},
         "event": [{"at": 6.0, "do": "try", "zones": "ab", "who": "p1,p3,p4,p6", "span": 8.0, "bad": True}],
     }
-    os.environ["PYTHONPATH"] = str(ROGUES.parent.parent)
+    os.environ["PYTHONPATH"] = str(FAULTY_PROXY_SCRIPT.parent.parent)
     commands = {
-        number: [sys.executable, str(ROGUES), name, "serve"]
+        number: [sys.executable, str(FAULTY_PROXY_SCRIPT), name, "serve"]
         for number, name in ((3, "never_halts"), (7, "tries_unasked"))
     }
     verdict, _ = played(scenario.parse_scenario(plan, "trying"), tmp_path, commands=commands)
@@ -767,11 +772,11 @@
     plan["event"] = [one | {"at": one["at"] - 5.0, "until": 21.0} for one in plan["event"]]
     plan["event"].append(plan["event"][0] | {"do": "sick_large", "who": "c6", "amount": 60.0})
     plan["traffic"] |= {"large": 0.4, "keys": 100}
-    os.environ["PYTHONPATH"] = str(ROGUES.parent.parent)
+    os.environ["PYTHONPATH"] = str(FAULTY_PROXY_SCRIPT.parent.parent)
     verdict, _ = played(
         scenario.parse_scenario(plan, "sick"),
         tmp_path,
-        commands={1: [sys.executable, str(ROGUES), "lies_of_caches", "serve"]},
+        commands={1: [sys.executable, str(FAULTY_PROXY_SCRIPT), "lies_of_caches", "serve"]},
     )
     assert verdict.word == "passed", (verdict.void, verdict.findings[:5])
     assert 0.0 < verdict.figures["sick_sent"] <= 0.75 and 0.0 < verdict.figures["sick_large_sent"] <= 0.75
@@ -850,7 +855,11 @@
     )
     verdict, records = played(plan, tmp_path)
     assert verdict.word == "passed", (verdict.void, verdict.findings[:5])
-    assert [(life.proxy, life.code) for life in records.lives if life.what == "exited"] == [("p1", 0)]
+    assert [
+        (process_event.proxy, process_event.code)
+        for process_event in records.process_events
+        if process_event.what == "exited"
+    ] == [("p1", 0)]
 
 
 def test_results_are_kept_shown_and_drawn(tmp_path: Path) -> None:
@@ -864,7 +873,7 @@
 
 
 @SECOND
-def test_a_drill_of_twelve_processes_with_faults_holds_rules_and_bounds(tmp_path: Path) -> None:
+def test_a_scenario_of_twelve_processes_with_faults_holds_rules_and_bounds(tmp_path: Path) -> None:
     """A cold start with half of the links to the list service cut, a third stopped in line, then a drain."""
     plan = scenario.parse_scenario(
         {
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -10,7 +10,16 @@
 
 import pytest
 from click.testing import CliRunner
-from helpers import HEAD, SETTINGS, Desk, Loop, Wire, ask, endpoint, reply
+from helpers import (
+    CHUNKED_RESPONSE_HEAD,
+    SETTINGS,
+    FakeEventLoop,
+    FakeTransport,
+    ProxyHarness,
+    encode_reply,
+    encode_request,
+    endpoint,
+)
 
 from calicofall.cli.main import main
 from calicofall.config.endpoint_list import parse_endpoint_list
@@ -40,7 +49,7 @@
         slots = TimeSlots(number, proxies, room, 50.0, 7_000.3)
         now = 50.0 + random.uniform(0.0, 3.0)
         for _ in range(3):
-            taken.append(slots.next(now))
+            taken.append(slots.next_slot_at(now))
             assert now - 1e-9 <= taken[-1] < now + proxies / room + 1e-9
             now = taken[-1] + 0.5 / room
     for span in (1.0, 2.0):
@@ -49,12 +58,12 @@
 
 def test_time_slots_with_clocks_that_differ_exceed_the_rate_by_the_difference_only() -> None:
     slots = TimeSlots(3, 100, 10.0, 50.0, 7_000.0)
-    assert slots.next(60.0) == slots.next(60.0)  # the common clock is read once
+    assert slots.next_slot_at(60.0) == slots.next_slot_at(60.0)  # the common clock is read once
     random = Random(1)
     rate = 10.0
     difference = 0.4
     taken = [
-        TimeSlots(number, 200, rate, 0.0, 7_000.0 + random.uniform(0.0, difference)).next(1.0)
+        TimeSlots(number, 200, rate, 0.0, 7_000.0 + random.uniform(0.0, difference)).next_slot_at(1.0)
         for number in range(200)
     ]
     assert most_in_span(taken)[0] <= rate * (1.0 + 2.0 * difference) + 1
@@ -62,18 +71,18 @@
 
 def test_time_slot_of_a_stopped_process_has_lapsed() -> None:
     slots = TimeSlots(3, 100, 10.0, 50.0, 7_000.0)
-    slot = slots.next(51.0)
-    assert not slots.lapsed(slot, slot + 0.2)
-    assert slots.lapsed(slot, slot + 0.4)
+    slot = slots.next_slot_at(51.0)
+    assert not slots.is_expired(slot, slot + 0.2)
+    assert slots.is_expired(slot, slot + 0.4)
     schedule = DiscoverySchedule(Random(1), 100, 5.0, slots)
-    assert schedule.enter(51.0) == slot
-    assert schedule.due(slot + 0.01) is None
-    schedule.enter(51.0)
-    later = schedule.due(slot + 3.0)  # stopped meanwhile: the next slot, not now
+    assert schedule.first_attempt_at(51.0) == slot
+    assert schedule.postponed_until(slot + 0.01) is None
+    schedule.first_attempt_at(51.0)
+    later = schedule.postponed_until(slot + 3.0)  # stopped meanwhile: the next slot, not now
     assert later is not None
     assert later > slot + 3.0
     assert abs(later - slot - 10.0) < 1e-6
-    assert schedule.due(later) is None
+    assert schedule.postponed_until(later) is None
 
 
 # The contention estimate
@@ -85,22 +94,22 @@
     for fate in product(fates, repeat=3):
         for order in permutations(range(3)):
             estimate = ContentionEstimate(0, 4, 4.0, Random(1))
-            old_sample, _ = estimate.ask(0.0)
-            sample, peers = estimate.ask(1.0)
+            old_sample, _ = estimate.begin_sample(0.0)
+            sample, peers = estimate.begin_sample(1.0)
             assert sorted(peers) == [1, 2, 3]
             for place in order:
                 peer = peers[place]
                 what = fate[place]
                 if what in ("served", "waits", "repeated"):
-                    estimate.told(sample, peer, what != "waits")
+                    estimate.count_answer(sample, peer, what != "waits")
                 if what == "repeated":
-                    assert not estimate.told(sample, peer, True)
+                    assert not estimate.count_answer(sample, peer, True)
                 if what == "of another sample":
-                    assert not estimate.told(old_sample, peer, True)
+                    assert not estimate.count_answer(old_sample, peer, True)
             all_answered = all(what in ("served", "waits", "repeated") for what in fate)
             waiting = sum(what in ("waits", "lost", "of another sample") for what in fate) / 3
-            assert (estimate.known(1.01) is not None) == all_answered
-            assert estimate.known(1.0 + ANSWER_TIMEOUT_S) == pytest.approx(waiting)
+            assert (estimate.waiting_fraction(1.01) is not None) == all_answered
+            assert estimate.waiting_fraction(1.0 + ANSWER_TIMEOUT_S) == pytest.approx(waiting)
 
 
 def test_sample_size_grows_with_the_fleet_up_to_the_limit() -> None:
@@ -116,40 +125,40 @@
 
 def test_discovery_schedule_asks_at_once_alone_and_in_its_slot_under_contention() -> None:
     schedule = DiscoverySchedule(Random(1), 200, 5.0, TimeSlots(7, 200, 10.0, 0.0, 7_000.0))
-    assert schedule.enter(5.0, 0.0) == 5.0
-    assert 5.0 <= schedule.enter(5.0, 0.05) <= 7.0
-    assert 5.0 <= schedule.enter(5.0, 1.0) <= 25.0
+    assert schedule.first_attempt_at(5.0, 0.0) == 5.0
+    assert 5.0 <= schedule.first_attempt_at(5.0, 0.05) <= 7.0
+    assert 5.0 <= schedule.first_attempt_at(5.0, 1.0) <= 25.0
     small_fleet = DiscoverySchedule(Random(1), 4, 5.0, TimeSlots(3, 4, 10.0, 0.0, 7_000.0))
-    assert not small_fleet.senses()
-    assert small_fleet.enter(5.0, 1.0) == 5.0  # there is capacity for all at once
+    assert not small_fleet.depends_on_contention()
+    assert small_fleet.first_attempt_at(5.0, 1.0) == 5.0  # there is capacity for all at once
     without_rate = DiscoverySchedule(Random(1), 200)
-    assert without_rate.enter(5.0, 1.0) == 5.0
-    assert not without_rate.senses()
+    assert without_rate.first_attempt_at(5.0, 1.0) == 5.0
+    assert not without_rate.depends_on_contention()
 
 
 def test_discovery_schedule_after_a_refusal_uses_a_slot_and_keeps_retry_after() -> None:
     schedule = DiscoverySchedule(Random(1), 200, 5.0, TimeSlots(7, 200, 10.0, 0.0, 7_000.0))
-    assert 5.0 < schedule.refused(5.0) <= 25.1
-    assert schedule.refused(5.0, 30.0) >= 35.0
+    assert 5.0 < schedule.retry_at_after_refusal(5.0) <= 25.1
+    assert schedule.retry_at_after_refusal(5.0, 30.0) >= 35.0
     without_rate = DiscoverySchedule(Random(1), 200)
-    assert without_rate.refused(5.0, 3.5) >= 8.5
+    assert without_rate.retry_at_after_refusal(5.0, 3.5) >= 8.5
     # A list that is in use is not kept from news for longer.
-    assert without_rate.refused(5.0, 60.0) <= 5.0 + MAX_BACKOFF_S * 1.1
+    assert without_rate.retry_at_after_refusal(5.0, 60.0) <= 5.0 + MAX_BACKOFF_S * 1.1
 
 
 def test_discovery_schedule_spreads_first_backoffs_after_refusals() -> None:
     """Without a spread, 200 proxies refused in one second ask again in one second, and so on."""
-    attempts = [DiscoverySchedule(Random(seed), 200).refused(0.0) for seed in range(200)]
+    attempts = [DiscoverySchedule(Random(seed), 200).retry_at_after_refusal(0.0) for seed in range(200)]
     assert most_in_span(attempts, 0.5)[0] < 50
     assert max(attempts) <= 5.5
 
 
-def discovery_of(proxies: int, room: float, served: bool) -> tuple[Loop, list, Discovery]:
+def discovery_of(proxies: int, room: float, served: bool) -> tuple[FakeEventLoop, list, Discovery]:
     """A proxy's discovery on a simulated loop, and the phases that it reports.
 
     All peers of the proxy are served already, or none is.
     """
-    loop = Loop()
+    loop = FakeEventLoop()
     phases = []
     slots = TimeSlots(proxies // 2, proxies, room, loop.time(), 7_000.0)
     schedule = DiscoverySchedule(Random(1), proxies, 5.0, slots)
@@ -164,42 +173,42 @@
 def test_discovery_under_contention_waits_for_its_slot_and_asks_a_lost_service_once_a_period() -> None:
     def run_until_next_attempt() -> float:
         """How long it took, in seconds."""
-        attempts = len(loop.opened)
+        attempts = len(loop.connect_requests)
         began = loop.time()
-        while len(loop.opened) == attempts and loop.time() < began + 20.0:
-            loop.run(0.05)
-        assert len(loop.opened) == attempts + 1
+        while len(loop.connect_requests) == attempts and loop.time() < began + 20.0:
+            loop.advance(0.05)
+        assert len(loop.connect_requests) == attempts + 1
         return loop.time() - began
 
     loop, phases, discovery = discovery_of(100, 10.0, served=False)
     run_until_next_attempt()
-    wire = Wire(loop.opened[0][0])
+    transport = FakeTransport(loop.connect_requests[0][0])
     assert phases == ["list asked"]
-    wire.feed(HEAD + b"2\r\n\n\n\r\n")
+    transport.feed(CHUNKED_RESPONSE_HEAD + b"2\r\n\n\n\r\n")
     assert phases == ["list asked", "list heard", "list heard"]
     assert discovery.is_live
-    wire.abort()
+    transport.abort()
     assert not discovery.is_live
     run_until_next_attempt()
     for _ in range(5):  # nobody answers: once a period, not twice a second
-        loop.opened[-1][0].abort()
+        loop.connect_requests[-1][0].abort()
         assert run_until_next_attempt() > 9.8
 
 
 def test_discovery_alone_asks_at_once_and_keeps_retry_after() -> None:
     loop, _, _ = discovery_of(100, 10.0, served=True)
-    assert len(loop.opened) == 1
-    Wire(loop.opened[0][0]).feed(b"HTTP/1.1 503 No\r\nRetry-After: 12\r\n")
-    loop.run(0.5)
-    assert len(loop.opened) == 1
-    assert not loop.opened[0][0].closed  # the head is not complete
-    loop.opened[0][0].buffer_updated(0)
-    Wire.feed(loop.opened[0][0].transport, b"\r\n")
-    assert loop.opened[0][0].closed
-    loop.run(11.9)
-    assert len(loop.opened) == 1
-    loop.run(10.1)
-    assert len(loop.opened) == 2
+    assert len(loop.connect_requests) == 1
+    FakeTransport(loop.connect_requests[0][0]).feed(b"HTTP/1.1 503 No\r\nRetry-After: 12\r\n")
+    loop.advance(0.5)
+    assert len(loop.connect_requests) == 1
+    assert not loop.connect_requests[0][0].closed  # the head is not complete
+    loop.connect_requests[0][0].buffer_updated(0)
+    FakeTransport.feed(loop.connect_requests[0][0].transport, b"\r\n")
+    assert loop.connect_requests[0][0].closed
+    loop.advance(11.9)
+    assert len(loop.connect_requests) == 1
+    loop.advance(10.1)
+    assert len(loop.connect_requests) == 2
 
 
 # A large fleet, simulated
@@ -279,22 +288,22 @@
     """Slots that are used by processes that were stopped, and a schedule that never waits."""
     starts = StartupScenario(proxies=300, rate_per_s=10.0, seed=1)
     stops = StartupScenario(proxies=300, rate_per_s=10.0, seed=1, stopped=Span(2.0, 18.0), stopped_every=3)
-    lapsed = TimeSlots.lapsed
-    enter = DiscoverySchedule.enter
+    lapsed = TimeSlots.is_expired
+    enter = DiscoverySchedule.first_attempt_at
     try:
-        TimeSlots.lapsed = lambda self, slot, now: False
+        TimeSlots.is_expired = lambda self, slot, now: False
         assert StartupSimulation(stops).run().peak > 15
-        TimeSlots.lapsed = lapsed
-        DiscoverySchedule.enter = lambda self, now, part=1.0: now
+        TimeSlots.is_expired = lapsed
+        DiscoverySchedule.first_attempt_at = lambda self, now, part=1.0: now
         assert StartupSimulation(starts).run().peak > 15
     finally:
-        TimeSlots.lapsed = lapsed
-        DiscoverySchedule.enter = enter
+        TimeSlots.is_expired = lapsed
+        DiscoverySchedule.first_attempt_at = enter
 
 
 def test_time_slots_with_half_the_number_of_proxies_configured_double_the_rate_at_most() -> None:
     """Two proxies have each number: the rate at the service doubles, and no more."""
-    slots = [TimeSlots(number % 100, 100, 10.0, 0.0, 7_000.0).next(1.0) for number in range(200)]
+    slots = [TimeSlots(number % 100, 100, 10.0, 0.0, 7_000.0).next_slot_at(1.0) for number in range(200)]
     assert most_in_span(slots)[0] <= 2 * (10 + 1)
 
 
@@ -314,15 +323,15 @@
         (peer_messages.encode_message("shop", message._replace(sender=9)), "form"),
         (peer_messages.encode_message("shop", peer_messages.StartupMessage("x", -1, None, 2, 3)), "form"),
     ):
-        with pytest.raises(peer_messages.InvalidMessage, match=cause):
+        with pytest.raises(peer_messages.InvalidMessageError, match=cause):
             peer_messages.decode_message(wrong, "shop", 4)
     for _ in range(300):
         place = random.randrange(len(data))
         changed_byte = bytes([data[place] ^ random.randrange(1, 256)])
-        with pytest.raises(peer_messages.InvalidMessage):
+        with pytest.raises(peer_messages.InvalidMessageError):
             peer_messages.decode_message(data[:place] + changed_byte + data[place + 1 :], "shop", 4)
         noise = random.randbytes(random.randrange(600))
-        with pytest.raises(peer_messages.InvalidMessage):
+        with pytest.raises(peer_messages.InvalidMessageError):
             peer_messages.decode_message(noise, "shop", 4)
 
 
@@ -343,7 +352,7 @@
 
 
 def test_gossip_transport_answers_questions_and_drops_unasked_answers() -> None:
-    loop = Loop()
+    loop = FakeEventLoop()
     fractions = []
     addresses = [(f"10.0.0.{i}", 7946) for i in range(4)]
     estimate = ContentionEstimate(0, 4, 4.0, Random(1))
@@ -358,7 +367,9 @@
     assert address == addresses[2]
     assert peer_messages.decode_message(data, "shop", 4) == answer
     peers.estimate_contention(fractions.append)
-    samples = {peer_messages.decode_message(data, "shop", 4).mark for data, _ in peers.transport.sent}
+    samples = {
+        peer_messages.decode_message(data, "shop", 4).correlation_id for data, _ in peers.transport.sent
+    }
     assert len(peers.transport.sent) == 3
     assert len(samples) == 1
     assert not fractions
@@ -371,7 +382,7 @@
         )
     assert not fractions
     assert peers.dropped == {"unasked": 2}
-    loop.run(ANSWER_TIMEOUT_S + 0.01)
+    loop.advance(ANSWER_TIMEOUT_S + 0.01)
     assert fractions == [pytest.approx(2 / 3)]
     peers.datagram_received(b"nonsense", ("x", 1))
     assert peers.dropped["digest"] == 1
@@ -387,105 +398,105 @@
         quotas = ConnectionQuotas(number, 50, 25.0, 200)
         now = 100.0 + number * 0.003
         while now < 110.0:
-            now = quotas.begin("c1", 12345, now, now + 7_000.0)
+            now = quotas.take_slot("c1", 12345, now, now + 7_000.0)
             opened.append(now)
-        assert quotas.most == 4
+        assert quotas.max_connections == 4
     assert most_in_span(opened)[0] <= 26
     assert len(opened) > 240
 
 
 def test_handshake_slot_given_back_is_taken_again_and_none_twice() -> None:
     quotas = ConnectionQuotas(3, 10, 10.0, None)
-    first = quotas.begin("c1", 1, 50.0, 7_000.0)
-    quotas.back("c1", first)
-    assert quotas.begin("c1", 1, 50.0, 7_000.0) == pytest.approx(first)
-    assert quotas.begin("c1", 1, 50.0, 7_000.0) == pytest.approx(first + 1.0)
+    first = quotas.take_slot("c1", 1, 50.0, 7_000.0)
+    quotas.return_slot("c1", first)
+    assert quotas.take_slot("c1", 1, 50.0, 7_000.0) == pytest.approx(first)
+    assert quotas.take_slot("c1", 1, 50.0, 7_000.0) == pytest.approx(first + 1.0)
     unlimited = ConnectionQuotas(3, 10)
-    assert unlimited.begin("c1", 1, 50.0, 7_000.0) == 50.0
-    assert unlimited.most is None
+    assert unlimited.take_slot("c1", 1, 50.0, 7_000.0) == 50.0
+    assert unlimited.max_connections is None
 
 
-def desk_with_start_settings(caches: int = 3, **start: object) -> Desk:
+def harness_with_start_settings(caches: int = 3, **start: object) -> ProxyHarness:
     """A proxy on a simulated loop whose configuration has these `start` settings."""
 
-    class DeskWithStartSettings(Desk):
+    class HarnessWithStartSettings(ProxyHarness):
         @staticmethod
-        def node(*values: int, **settings: object) -> dict:
-            return Desk.node(*values, **settings) | {"start": start}
+        def node_file(*values: int, **settings: object) -> dict:
+            return ProxyHarness.node_file(*values, **settings) | {"start": start}
 
-    return DeskWithStartSettings(caches)
+    return HarnessWithStartSettings(caches)
 
 
 def test_connection_waits_for_its_slot_within_the_latency_objective_or_the_request_is_rejected() -> None:
     """Two proxies, a handshake every two seconds: a slot too far off is no fault of the endpoint."""
-    desk = desk_with_start_settings(caches=1, handshakesPerS=1.0).spacious()
-    client = desk.client()
-    now = desk.loop.time()
-    desk.proxy.connection_quotas.begin(
+    harness = harness_with_start_settings(caches=1, handshakesPerS=1.0).with_high_limits()
+    client = harness.client()
+    now = harness.loop.time()
+    harness.proxy.connection_quotas.take_slot(
         "c1",
-        desk.proxy.upstreams.pools["c1"].order_offset,
+        harness.proxy.upstreams.pools["c1"].order_offset,
         now,
-        now + desk.proxy.upstreams.common_clock_offset_s,
+        now + harness.proxy.upstreams.common_clock_offset_s,
     )
-    client.feed(ask())  # its slot has just been taken: the next is two seconds off
-    desk.loop.run(0.01)
+    client.feed(encode_request())  # its slot has just been taken: the next is two seconds off
+    harness.loop.advance(0.01)
     assert client.take().startswith(b"-BUSY")
-    assert not desk.loop.opened
-    cache = desk.proxy.router.policy.endpoints.caches["c1"]
+    assert not harness.loop.connect_requests
+    cache = harness.proxy.router.policy.endpoints.caches["c1"]
     assert cache.admitted_fraction == 1.0
     assert not cache.ejected
-    slots = desk.proxy.connection_quotas.slots["c1"]
-    slot = slots.taken_at_s + slots.time_slots.gap
-    desk.loop.run(slot - desk.loop.time() - 0.1)
-    client.feed(ask())
-    assert not desk.loop.opened
-    desk.loop.run(0.2)
-    assert len(desk.loop.opened) == 1
-    desk.line().feed(reply(b"fresh"))
+    slots = harness.proxy.connection_quotas.slots_by_endpoint["c1"]
+    slot = slots.last_taken_at_s + slots.time_slots.gap_s
+    harness.loop.advance(slot - harness.loop.time() - 0.1)
+    client.feed(encode_request())
+    assert not harness.loop.connect_requests
+    harness.loop.advance(0.2)
+    assert len(harness.loop.connect_requests) == 1
+    harness.connect_upstream().feed(encode_reply(b"fresh"))
     assert client.take() == b"$5\r\nfresh\r\n"
 
 
 def test_connection_of_a_stopped_process_takes_the_next_slot() -> None:
-    desk = desk_with_start_settings(caches=1, handshakesPerS=1.0).spacious()
-    pool = desk.proxy.upstreams.pools["c1"]
-    now = desk.loop.time()
-    slot = desk.proxy.connection_quotas.begin(
-        "c1", pool.order_offset, now, now + desk.proxy.upstreams.common_clock_offset_s
+    harness = harness_with_start_settings(caches=1, handshakesPerS=1.0).with_high_limits()
+    pool = harness.proxy.upstreams.pools["c1"]
+    now = harness.loop.time()
+    slot = harness.proxy.connection_quotas.take_slot(
+        "c1", pool.order_offset, now, now + harness.proxy.upstreams.common_clock_offset_s
     )
-    desk.proxy.connection_quotas.back("c1", slot)
+    harness.proxy.connection_quotas.return_slot("c1", slot)
     connection = pool.add_connection(5.0)
     assert connection is not None
     assert connection.opens_at >= now
-    desk.loop.calls = [call for call in desk.loop.calls if call.call != pool.open_when_due]
-    desk.loop.clock = connection.opens_at + 0.7  # the process was stopped while its slot went by
+    harness.loop.calls = [call for call in harness.loop.calls if call.callback != pool.open_when_due]
+    harness.loop.clock = connection.opens_at + 0.7  # the process was stopped while its slot went by
     pool.open_when_due(connection)
-    assert not desk.loop.opened
-    assert connection.opens_at > desk.loop.clock
-    desk.loop.run(2.1)
-    assert len(desk.loop.opened) == 1
+    assert not harness.loop.connect_requests
+    assert connection.opens_at > harness.loop.clock
+    harness.loop.advance(2.1)
+    assert len(harness.loop.connect_requests) == 1
 
 
 def test_connections_to_an_endpoint_stay_within_the_proxys_quota() -> None:
-    desk = desk_with_start_settings(caches=1, connections=4).spacious()
-    clients = [desk.client() for _ in range(5)]
+    harness = harness_with_start_settings(caches=1, connections=4).with_high_limits()
+    clients = [harness.client() for _ in range(5)]
     for number, client in enumerate(clients):
-        client.feed(ask(key=number))
-    assert len(desk.loop.opened) == 2  # four for two proxies; the rest share what there is
+        client.feed(encode_request(key=number))
+    assert len(harness.loop.connect_requests) == 2  # four for two proxies; the rest share what there is
 
 
 def test_endpoints_warming_up_get_more_requests_where_their_capacity_is_configured() -> None:
     """Without it, a fleet that is all new sends each endpoint three requests a second in all."""
 
     def count_forwarded(**start: object) -> int:
-        desk = desk_with_start_settings(caches=3, **start)
-        now = desk.proxy.now_ms()
-        desk.list(*(endpoint(f"c{i}") | {"since_ms": now} for i in range(1, 4)))
-        desk.spacious()
+        harness = harness_with_start_settings(caches=3, **start)
+        now = harness.proxy.now_ms()
+        harness.push_endpoint_list(*(endpoint(f"c{i}") | {"since_ms": now} for i in range(1, 4)))
+        harness.with_high_limits()
         count = 0
         for number in range(200):
-            client = desk.client()
-            client.feed(ask(key=number))
-            desk.loop.run(0.01)
+            client = harness.client()
+            client.feed(encode_request(key=number))
+            harness.loop.advance(0.01)
             count += not client.take().startswith(b"-BUSY")
             client.abort()
         return count
@@ -501,7 +512,7 @@
 
     async def start_refused_then_listed() -> tuple[bool, bool]:
         loop = asyncio.get_running_loop()
-        node = Desk.node() | {"known": None, "listen": "127.0.0.1:6399"}
+        node = ProxyHarness.node_file() | {"known": None, "listen": "127.0.0.1:6399"}
         proxy = Proxy(node, loop, lambda *values: None)
         proxy.discovery.answered.set()  # refused
         waits_for_list = asyncio.create_task(proxy.wait_for_list())
@@ -534,9 +545,9 @@
         ("n0", 1031.0, "old"),
         ("n0", 990.0, "future"),
     ):
-        with pytest.raises(snapshot.UnusableSnapshot, match=cause):
+        with pytest.raises(snapshot.UnusableSnapshotError, match=cause):
             snapshot.decode_snapshot(data, name, wall, 30.0)
-    with pytest.raises(snapshot.UnusableSnapshot, match="version 2"):
+    with pytest.raises(snapshot.UnusableSnapshotError, match="version 2"):
         snapshot.decode_snapshot(data.replace(b"snapshot 1 ", b"snapshot 2 "), "n0", 1000.0, 30.0)
 
 
@@ -544,12 +555,12 @@
     data = snapshot.encode_snapshot("n0", 1000.0, KNOWN, LEARNED)
     for place in range(len(data)):
         for wrong in (data[:place], data[:place] + bytes([data[place] ^ 0x41]) + data[place + 1 :]):
-            with pytest.raises(snapshot.UnusableSnapshot):
+            with pytest.raises(snapshot.UnusableSnapshotError):
                 snapshot.decode_snapshot(wrong, "n0", 1000.0, 30.0)
     for body in (b"[]", b"{}", b'{"proxy":"n0","at":"x","known":3,"learned":[]}', b"\xff"):
-        with pytest.raises(snapshot.UnusableSnapshot):
+        with pytest.raises(snapshot.UnusableSnapshotError):
             snapshot.decode_snapshot(
-                snapshot.MAGIC + b"1 " + snapshot.digest(body) + b"\n" + body, "n0", 1000.0, 30.0
+                snapshot.MAGIC + b"1 " + snapshot.body_digest(body) + b"\n" + body, "n0", 1000.0, 30.0
             )
 
 
@@ -564,43 +575,46 @@
 
 
 def test_proxy_with_a_snapshot_starts_from_the_learned_state(tmp_path: Path) -> None:
-    first = desk_with_start_settings(snapshot=str(tmp_path)).proxy
+    first = harness_with_start_settings(snapshot=str(tmp_path)).proxy
     policy = first.router.policy
-    policy.fleet.value = 40.0
+    policy.fleet_limit.value = 40.0
     policy.latency.baselines["read"] = 9.0
     policy.endpoints.caches["c1"].admitted_fraction = 0.125
     policy.endpoints.caches["c1"].fraction_set_at = first.now_ms()
     assert first.encode_snapshot() is None  # nothing while the list is not known to hold
     first.discovery.has_answered = True
     first.snapshot_store.write(first.encode_snapshot())
-    second = desk_with_start_settings(snapshot=str(tmp_path)).proxy
+    second = harness_with_start_settings(snapshot=str(tmp_path)).proxy
     again = second.router.policy
-    assert again.fleet.value == 20.0
+    assert again.fleet_limit.value == 20.0
     assert again.latency.baselines["read"] == 9.0
     assert again.endpoints.caches["c1"].ejected
     assert second.upstreams.endpoint_names == first.upstreams.endpoint_names
     assert second.upstreams.pools["c2"].address == ("10.1.0.2", 6379)
     (tmp_path / "n0.snapshot").write_bytes(b"half")
     assert (
-        desk_with_start_settings(snapshot=str(tmp_path)).proxy.router.policy.latency.baselines["read"] is None
+        harness_with_start_settings(snapshot=str(tmp_path)).proxy.router.policy.latency.baselines["read"]
+        is None
     )
     assert not list(tmp_path.glob(".snapshot-*"))
 
 
 def test_proxy_with_other_settings_or_discovery_address_ignores_the_snapshot(tmp_path: Path) -> None:
     """Two customers' proxies of one name in one folder; a proxy whose settings were changed meanwhile."""
-    first = desk_with_start_settings(snapshot=str(tmp_path)).proxy
+    first = harness_with_start_settings(snapshot=str(tmp_path)).proxy
     first.router.policy.latency.baselines["read"] = 9.0
     first.discovery.has_answered = True
     first.snapshot_store.write(first.encode_snapshot())
     assert (
-        desk_with_start_settings(snapshot=str(tmp_path)).proxy.router.policy.latency.baselines["read"] == 9.0
+        harness_with_start_settings(snapshot=str(tmp_path)).proxy.router.policy.latency.baselines["read"]
+        == 9.0
     )
     first.discovery.change_address("10.2.0.9:8500")  # its list is another service's from here on
     first.discovery.has_answered = True
     first.snapshot_store.write(first.encode_snapshot())
     assert (
-        desk_with_start_settings(snapshot=str(tmp_path)).proxy.router.policy.latency.baselines["read"] is None
+        harness_with_start_settings(snapshot=str(tmp_path)).proxy.router.policy.latency.baselines["read"]
+        is None
     )
     node = first.node["settings"]
     assert snapshot.snapshot_owner("n0", node, "a:1") != snapshot.snapshot_owner(
@@ -615,13 +629,13 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     (tmp_path / "file").write_bytes(b"")
-    failing = SnapshotStore(Loop(), str(tmp_path / "file" / "folder"), "n0", lambda: b"data")
+    failing = SnapshotStore(FakeEventLoop(), str(tmp_path / "file" / "folder"), "n0", lambda: b"data")
     with caplog.at_level("WARNING", "calicofall"):
         for _ in range(3):
             failing.write(b"data")  # no folder can be made there
     assert len([record for record in caplog.records if record.message == "snapshot not written"]) <= 1
     assert failing.load("n0", time.time(), 30.0) is None
-    good = SnapshotStore(Loop(), str(tmp_path), "n0", lambda: b"data")
+    good = SnapshotStore(FakeEventLoop(), str(tmp_path), "n0", lambda: b"data")
     good.write(b"old")
     replace = os.replace
     try:
@@ -656,7 +670,7 @@
 )
 def test_check_with_wrong_start_settings_prints_one_line(start: object, field: str, tmp_path: Path) -> None:
     file = tmp_path / "node.json"
-    file.write_text(json.dumps(Desk.node() | {"start": start}))
+    file.write_text(json.dumps(ProxyHarness.node_file() | {"start": start}))
     result = CliRunner().invoke(main, ["check", "--config", str(file)])
     assert result.exit_code == 1
     assert field in result.output
@@ -686,23 +700,23 @@
 
 
 def test_proxy_without_start_settings_has_no_peers_snapshot_or_quotas() -> None:
-    proxy = Desk().proxy
+    proxy = ProxyHarness().proxy
     assert proxy.gossip is None
     assert proxy.snapshot_store is None
-    assert proxy.discovery.schedule.grid is None
-    assert proxy.connection_quotas.handshakes is None
-    assert proxy.connection_quotas.most is None
-    assert proxy.router.policy.slow_start.told_rate == 0.0
+    assert proxy.discovery.schedule.time_slots is None
+    assert proxy.connection_quotas.handshakes_per_s is None
+    assert proxy.connection_quotas.max_connections is None
+    assert proxy.router.policy.slow_start.assigned_rate == 0.0
     assert parse_startup_settings({"settings": SETTINGS}) == {}
 
 
 def test_phases_are_reported_once_each_with_their_times() -> None:
-    desk = Desk()
-    assert "start.first_RPC:-" in desk.proxy.handle_call("phases")
-    client = desk.client()
+    harness = ProxyHarness()
+    assert "start.first_RPC:-" in harness.proxy.handle_call("phases")
+    client = harness.client()
     for _ in range(2):
-        desk.loop.run(0.2)
-        client.feed(ask())
-        desk.line().feed(reply(b"fresh"))
-    assert "start.first_RPC:200" in desk.proxy.handle_call("phases")
-    assert desk.proxy.handle_call("phases").endswith("\n.")
+        harness.loop.advance(0.2)
+        client.feed(encode_request())
+        harness.connect_upstream().feed(encode_reply(b"fresh"))
+    assert "start.first_RPC:200" in harness.proxy.handle_call("phases")
+    assert harness.proxy.handle_call("phases").endswith("\n.")
