--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,7 +1,8 @@
-"""What is owed when something ends: on real sockets where the system's own order of events matters, on fake
-transports and time elsewhere. Each test first shows that its crossing took place.
+"""Ends of connections, requests, watches and processes, and the replies that are due then.
 
-Owns a proxy on a loop of its own, with caches and an agent in the test's hand. Must never wait and hope.
+The tests run on real sockets where the kernel's order of events matters, and on fake transports and a fake
+clock elsewhere. Each test first asserts that the race that it tests has occurred. Waiting is always for a
+condition, never for a fixed time in the hope that the condition holds by then.
 """
 
 import asyncio
@@ -44,38 +45,40 @@
 from calicofall.startup.discovery_schedule import DiscoverySchedule
 
 ROOT = Path(__file__).parents[1]
-SHORT = [method | {"hardDeadlineNs": 600_000_000} for method in SETTINGS["methods"]]
+SHORT_DEADLINE_METHODS = [method | {"hardDeadlineNs": 600_000_000} for method in SETTINGS["methods"]]
 PING = resp.encode_command([b"PING"])
 
 
-def at(sock: socket.socket) -> str:
+def address_of(sock: socket.socket) -> str:
     return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
-def unread(sock: socket.socket) -> int:
-    """Bytes that have come and have not been read."""
+def unread_bytes(sock: socket.socket) -> int:
+    """Returns the number of received bytes that have not been read."""
     return int.from_bytes(fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(4)), sys.byteorder)
 
 
-def waits(sock: socket.socket, count: int) -> None:
-    """Until so many bytes lie at a socket of ours: the system has carried them over."""
-    end = time.monotonic() + 5.0
-    while unread(sock) < count:
-        assert time.monotonic() < end
+def wait_for_unread(sock: socket.socket, count: int) -> None:
+    """Waits until the kernel has delivered `count` bytes to a socket."""
+    deadline = time.monotonic() + 5.0
+    while unread_bytes(sock) < count:
+        assert time.monotonic() < deadline
         time.sleep(0.001)
 
 
-class Live:
-    """A proxy on real sockets; its loop turns only while told to."""
+class SocketHarness:
+    """A proxy on real sockets; its event loop runs only during calls of this class."""
 
     def __init__(self, caches: int = 1, sockets: int = 1024, **settings: object) -> None:
         self.loop = asyncio.new_event_loop()
-        self.caches = [socket.create_server(("127.0.0.1", 0)) for _ in range(caches)]
+        self.cache_listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(caches)]
         node = ProxyHarness.node_file(0, sockets, **settings) | {
             "known": {
                 "index": 1,
                 "snapshot": True,
-                "endpoints": [endpoint(f"c{i}", address=at(sock)) for i, sock in enumerate(self.caches)],
+                "endpoints": [
+                    endpoint(f"c{i}", address=address_of(sock)) for i, sock in enumerate(self.cache_listeners)
+                ],
             }
         }
         self.proxy = Proxy(node, self.loop)
@@ -90,143 +93,149 @@
             self.proxy.clients.add_client,
             shared=True,
         )
-        self.place = self.proxy.listener.socket.getsockname()
+        self.address = self.proxy.listener.socket.getsockname()
         self.open_sockets: list[socket.socket] = []
-        self.turn()
+        self.run_loop()
 
-    def turn(self, span: float = 0.05) -> None:
-        self.loop.run_until_complete(asyncio.sleep(span))
+    def run_loop(self, duration_s: float = 0.05) -> None:
+        self.loop.run_until_complete(asyncio.sleep(duration_s))
 
-    def until(self, seen: Callable[[], object]) -> None:
-        """Turns the loop until this is so."""
-        end = time.monotonic() + 5.0
-        while not seen():
-            assert time.monotonic() < end
-            self.turn(0.005)
+    def run_until(self, condition: Callable[[], object]) -> None:
+        """Runs the event loop until a condition holds."""
+        deadline = time.monotonic() + 5.0
+        while not condition():
+            assert time.monotonic() < deadline
+            self.run_loop(0.005)
 
     def client(self, accepted: bool = True) -> socket.socket:
-        before, sock = len(self.proxy.clients.connections), socket.create_connection(self.place)
+        before, sock = len(self.proxy.clients.connections), socket.create_connection(self.address)
         sock.settimeout(5.0)
         self.open_sockets.append(sock)
         if accepted:
-            self.until(lambda: len(self.proxy.clients.connections) > before)
+            self.run_until(lambda: len(self.proxy.clients.connections) > before)
         return sock
 
-    def sent(self, count: int) -> bool:
+    def has_sent(self, count: int) -> bool:
         return self.proxy.metrics.attempts_sent == count
 
-    def cache(self) -> socket.socket:
-        """The next connection that comes to a cache."""
-        self.caches[0].settimeout(5.0)
-        sock = self.caches[0].accept()[0]
+    def accept_cache_connection(self) -> socket.socket:
+        """Accepts the next connection to the first cache."""
+        self.cache_listeners[0].settimeout(5.0)
+        sock = self.cache_listeners[0].accept()[0]
         sock.settimeout(5.0)
         self.open_sockets.append(sock)
         return sock
 
     def close(self) -> None:
-        for sock in self.open_sockets + self.caches:
+        for sock in self.open_sockets + self.cache_listeners:
             sock.close()
         self.proxy.discovery.stop()
         self.proxy.upstreams.close()
         for client in list(self.proxy.clients.connections):
             client.abort()
         self.proxy.listener.close()
-        self.turn()
+        self.run_loop()
         self.loop.close()
 
 
 @pytest.fixture
-def live() -> Iterator[Live]:
-    one = Live()
-    yield one
-    one.close()
+def socket_harness() -> Iterator[SocketHarness]:
+    harness = SocketHarness()
+    yield harness
+    harness.close()
 
 
-def gone(sock: socket.socket, stream: BufferedConnection) -> None:
-    """A client leaves, and the system knows of it while the loop stands."""
-    eye = poll()
-    eye.register(stream.transport.get_extra_info("socket").fileno(), POLLRDHUP)
+def close_client(sock: socket.socket, connection: BufferedConnection) -> None:
+    """Closes a client's socket, and waits until the kernel reports it, without running the event loop."""
+    poller = poll()
+    poller.register(connection.transport.get_extra_info("socket").fileno(), POLLRDHUP)
     sock.close()
-    assert eye.poll(5000)
+    assert poller.poll(5000)
 
 
-def whole(sock: socket.socket) -> bytes:
-    """All that comes up to the peer's end; a reset raises."""
+def read_until_close(sock: socket.socket) -> bytes:
+    """Returns all bytes up to the peer's close; raises on a reset."""
     data = b""
-    while piece := sock.recv(1 << 16):
-        data += piece
+    while received := sock.recv(1 << 16):
+        data += received
     return data
 
 
 # The proxy closes a client's connection
 
 
-def test_a_close_over_unread_bytes_takes_no_answer_with_it(live: Live) -> None:
-    """A command came in the instant of the close: the reset that followed destroyed what was in flight."""
-    sock = live.client()
+def test_close_with_unread_input_discards_no_answer(socket_harness: SocketHarness) -> None:
+    """A command arrived during the close, and the reset that followed discarded the reply in flight."""
+    sock = socket_harness.client()
     sock.sendall(PING)
-    live.until(lambda: live.proxy.clients.idle)
-    stream = next(iter(live.proxy.clients.idle))
-    mine = stream.transport.get_extra_info("socket")
+    socket_harness.run_until(lambda: socket_harness.proxy.clients.idle)
+    connection = next(iter(socket_harness.proxy.clients.idle))
+    server_socket = connection.transport.get_extra_info("socket")
     sock.sendall(encode_request())
-    waits(mine, 1)  # the loop has not turned: it is unread
-    live.proxy.clients.close_idle()
-    assert unread(mine) and stream.closing
-    live.turn()
-    assert whole(sock) == b"+PONG\r\n"  # and no reset
+    wait_for_unread(server_socket, 1)  # the event loop has not run: the command is unread
+    socket_harness.proxy.clients.close_idle()
+    assert unread_bytes(server_socket) and connection.closing
+    socket_harness.run_loop()
+    assert read_until_close(sock) == b"+PONG\r\n"  # and no reset
+    # The command is not processed.
     assert (
-        not live.proxy.active_requests and live.proxy.metrics.totals()["completed"] == 0
-    )  # nor is it carried out
+        not socket_harness.proxy.active_requests and socket_harness.proxy.metrics.totals()["completed"] == 0
+    )
     sock.close()
-    live.until(lambda: not live.proxy.clients.connections)  # its end is waited for no longer than it takes
+    # The connection ends with the client's close.
+    socket_harness.run_until(lambda: not socket_harness.proxy.clients.connections)
 
 
-def test_an_answer_owed_while_emptying_is_followed_by_an_end_and_no_reset(live: Live) -> None:
-    """Seventeen commands at once: one lies unread as the sixteenth answer goes out and all ends."""
-    sock = live.client()
+def test_answer_due_during_a_shutdown_is_followed_by_a_close_and_no_reset(
+    socket_harness: SocketHarness,
+) -> None:
+    """Of seventeen commands, one is unread when the sixteenth answer is sent during a shutdown."""
+    sock = socket_harness.client()
     commands = b"".join(encode_request(key=1) for _ in range(MAX_PIPELINED_COMMANDS))
     sock.sendall(commands)
-    live.until(lambda: live.sent(MAX_PIPELINED_COMMANDS))
-    stream = next(iter(live.proxy.clients.connections))
-    assert len(stream.replies) == MAX_PIPELINED_COMMANDS and stream.reading_paused
-    live.proxy.shutdown.begin()
-    caches = [live.cache() for _ in range(MAX_PIPELINED_COMMANDS)]
+    socket_harness.run_until(lambda: socket_harness.has_sent(MAX_PIPELINED_COMMANDS))
+    connection = next(iter(socket_harness.proxy.clients.connections))
+    assert len(connection.replies) == MAX_PIPELINED_COMMANDS and connection.reading_paused
+    socket_harness.proxy.shutdown.begin()
+    caches = [socket_harness.accept_cache_connection() for _ in range(MAX_PIPELINED_COMMANDS)]
     sock.sendall(encode_request(key=1))
-    waits(stream.transport.get_extra_info("socket"), 1)
+    wait_for_unread(connection.transport.get_extra_info("socket"), 1)
     for cache in caches:
         cache.sendall(encode_reply(b"last"))
-    live.until(lambda: live.proxy.metrics.totals()["completed"] == MAX_PIPELINED_COMMANDS)
+    socket_harness.run_until(
+        lambda: socket_harness.proxy.metrics.totals()["completed"] == MAX_PIPELINED_COMMANDS
+    )
     data = b""
     while len(data) < len(b"$4\r\nlast\r\n") * MAX_PIPELINED_COMMANDS:
         data += sock.recv(1 << 16)
-    # What came before the shutdown is taken and answered; nothing else may be lost.
-    live.turn()
-    if not stream.closing:
-        live.until(lambda: live.sent(MAX_PIPELINED_COMMANDS + 1))
-        live.cache().sendall(encode_reply(b"last"))
-        live.until(lambda: stream.closing)
-    assert set((data + whole(sock)).split(b"$4\r\nlast\r\n")) == {b""}
-
-
-def test_a_connection_that_is_reset_while_it_lingers_is_let_go(live: Live) -> None:
-    """Its timer held it, and it the timer, until all that lives was looked through for what is out of use."""
-    sock = live.client()
+    # Commands received before the shutdown are processed and answered; nothing else may be lost.
+    socket_harness.run_loop()
+    if not connection.closing:
+        socket_harness.run_until(lambda: socket_harness.has_sent(MAX_PIPELINED_COMMANDS + 1))
+        socket_harness.accept_cache_connection().sendall(encode_reply(b"last"))
+        socket_harness.run_until(lambda: connection.closing)
+    assert set((data + read_until_close(sock)).split(b"$4\r\nlast\r\n")) == {b""}
+
+
+def test_connection_that_is_reset_while_it_lingers_is_freed(socket_harness: SocketHarness) -> None:
+    """The connection and its timer referenced each other, and stayed until a full garbage collection."""
+    sock = socket_harness.client()
     sock.sendall(PING)
-    live.until(lambda: live.proxy.clients.idle)
-    known = weakref.ref(next(iter(live.proxy.clients.idle)))
+    socket_harness.run_until(lambda: socket_harness.proxy.clients.idle)
+    reference = weakref.ref(next(iter(socket_harness.proxy.clients.idle)))
     gc.disable()
     try:
-        known().close()
+        reference().close()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         sock.close()
-        live.until(lambda: not live.proxy.clients.connections)
-        live.turn(LINGER_S + 0.05)
-        assert known() is None
+        socket_harness.run_until(lambda: not socket_harness.proxy.clients.connections)
+        socket_harness.run_loop(LINGER_S + 0.05)
+        assert reference() is None
     finally:
         gc.enable()
 
 
-def test_a_lingering_connection_goes_for_the_next_and_ends_by_itself() -> None:
+def test_lingering_connection_is_closed_for_a_new_one_or_by_its_timer() -> None:
     harness = ProxyHarness(sockets=40)  # eight connections
     clients = [harness.client() for _ in range(8)]
     for client in clients:
@@ -238,8 +247,8 @@
     assert not any(client.open for client in clients)
 
 
-def test_one_that_has_gone_is_not_kept_as_lingering() -> None:
-    """It would stand first where room is wanted, and give none."""
+def test_closed_connection_is_not_kept_as_lingering() -> None:
+    """It would be the first to be closed for a new connection, and closing it would free nothing."""
     harness = ProxyHarness()
     client = harness.client()
     client.abort()
@@ -247,8 +256,8 @@
     assert not harness.proxy.clients.closing and not harness.proxy.clients.connections
 
 
-def test_a_command_that_comes_slowly_is_no_rest() -> None:
-    """Where many rest, connections that rest close: clients that write slowly lost theirs in mid-command."""
+def test_client_that_sends_a_command_slowly_is_not_idle() -> None:
+    """While too many connections were idle, clients that wrote slowly lost theirs during a command."""
     harness = ProxyHarness(sockets=48)
     clients, data = [harness.client() for _ in range(6)], encode_request()
     for client in clients:
@@ -258,75 +267,78 @@
     assert all(client.open and not client.eof_written for client in clients)
 
 
-# A client leaves
+# A client disconnects
 
 
-def test_a_departure_is_seen_while_reading_is_paused(live: Live) -> None:
-    """A client sends much at once and goes: command after command was sent on for it."""
-    sock = live.client()
+def test_disconnect_is_detected_while_reading_is_paused(socket_harness: SocketHarness) -> None:
+    """A client pipelined many commands and disconnected: they were forwarded one after the other."""
+    sock = socket_harness.client()
     sock.sendall(b"".join(encode_request(key=1) for _ in range(4 * MAX_PIPELINED_COMMANDS)))
-    live.until(lambda: live.sent(MAX_PIPELINED_COMMANDS))
-    stream = next(iter(live.proxy.clients.connections))
-    caches = [live.cache() for _ in range(MAX_PIPELINED_COMMANDS)]
-    gone(sock, stream)
-    assert stream.reading_paused and not stream.closed  # it has gone, and nothing tells the loop
-    sent = live.proxy.metrics.attempts_sent
+    socket_harness.run_until(lambda: socket_harness.has_sent(MAX_PIPELINED_COMMANDS))
+    connection = next(iter(socket_harness.proxy.clients.connections))
+    caches = [socket_harness.accept_cache_connection() for _ in range(MAX_PIPELINED_COMMANDS)]
+    close_client(sock, connection)
+    assert connection.reading_paused and not connection.closed  # the event loop is not notified of the close
+    sent = socket_harness.proxy.metrics.attempts_sent
     for cache in caches:
         cache.sendall(encode_reply())
-    live.until(lambda: not live.proxy.active_requests)
-    live.turn()
-    assert live.proxy.metrics.attempts_sent == sent
-    live.proxy.clients.close_overdue()
-    assert stream.closed
+    socket_harness.run_until(lambda: not socket_harness.proxy.active_requests)
+    socket_harness.run_loop()
+    assert socket_harness.proxy.metrics.attempts_sent == sent
+    socket_harness.proxy.clients.close_overdue()
+    assert connection.closed
 
 
-def test_a_paused_client_that_left_holds_nothing_for_long(live: Live) -> None:
-    sock = live.client()
+def test_paused_client_that_disconnected_is_removed_by_the_next_upkeep(socket_harness: SocketHarness) -> None:
+    sock = socket_harness.client()
     sock.sendall(b"".join(encode_request(key=1) for _ in range(4 * MAX_PIPELINED_COMMANDS)))
-    live.until(lambda: live.sent(MAX_PIPELINED_COMMANDS))
-    stream = next(iter(live.proxy.clients.connections))
-    gone(sock, stream)
-    assert stream.reading_paused and not stream.closed
-    live.proxy.upkeep()  # no answer has come from anywhere
-    assert stream.closed and not live.proxy.active_requests and not live.proxy.clients.buffered_bytes
+    socket_harness.run_until(lambda: socket_harness.has_sent(MAX_PIPELINED_COMMANDS))
+    connection = next(iter(socket_harness.proxy.clients.connections))
+    close_client(sock, connection)
+    assert connection.reading_paused and not connection.closed
+    socket_harness.proxy.upkeep()  # no cache has answered
+    assert (
+        connection.closed
+        and not socket_harness.proxy.active_requests
+        and not socket_harness.proxy.clients.buffered_bytes
+    )
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-def test_nothing_is_sent_for_a_client_that_left_before_a_connection_came_up(cancel: bool) -> None:
-    """Where caches take no cancelling, the command went out with the connection, long after its client."""
+def test_nothing_is_sent_for_a_client_that_left_before_a_connection_was_established(cancel: bool) -> None:
+    """Without `cancel`, the command was sent when the connection opened, long after its client had left."""
     harness = ProxyHarness(caps=SETTINGS["caps"] | {"cancel": cancel}).with_high_limits()
     client = harness.client()
     client.feed(encode_request())
-    assert (
-        len(harness.loop.connect_requests) == 1 and harness.proxy.active_requests
-    )  # decided; its connection is on the way
+    # The request is decided, and its connection is being opened.
+    assert len(harness.loop.connect_requests) == 1 and harness.proxy.active_requests
     client.abort()
     harness.loop.advance(0.15)
     assert not harness.proxy.active_requests
-    for stream, _ in harness.loop.connect_requests:
-        if not stream.closed:
-            assert not FakeTransport(stream).sent
+    for connection, _ in harness.loop.connect_requests:
+        if not connection.closed:
+            assert not FakeTransport(connection).sent
     assert not harness.proxy.router.active_requests and harness.proxy.metrics.attempts_sent == 0
 
 
-# A connection to a cache comes up late
+# A connection to a cache is established late
 
 
-def test_what_a_late_command_tells_its_cache_is_what_is_left() -> None:
-    """It told the time that was left when the connection was asked for, more than a second before."""
+def test_late_command_contains_the_time_left_when_it_is_sent() -> None:
+    """It contained the time left when the connection was requested, more than a second earlier."""
     harness = ProxyHarness(caps=SETTINGS["caps"] | {"dialTimeoutNs": 2_000_000_000}).with_high_limits()
     client = harness.client()
     client.feed(encode_request("order", remaining_ms="1500"))
     harness.loop.advance(1.2)
     upstream = harness.connect_upstream()
-    told = int(upstream.sent.split(b"d=")[1].split(b",")[0])
-    assert 290 <= told <= 300
+    remaining_ms = int(upstream.sent.split(b"d=")[1].split(b",")[0])
+    assert 290 <= remaining_ms <= 300
     upstream.feed(encode_reply(b"late"))
     assert client.sent == b"$4\r\nlate\r\n"
 
 
-def test_nothing_leaves_in_the_instant_in_which_its_time_is_over() -> None:
-    """Both came due in one turn, and the connection was first."""
+def test_nothing_is_sent_at_the_moment_of_the_deadline() -> None:
+    """Both became due in one iteration of the event loop, and the connection was first."""
     harness = ProxyHarness(caps=SETTINGS["caps"] | {"dialTimeoutNs": 2_000_000_000}).with_high_limits()
     client = harness.client()
     client.feed(encode_request("order", remaining_ms="1500"))
@@ -341,8 +353,8 @@
     )
 
 
-def test_a_repeat_whose_window_passed_on_the_way_is_not_sent() -> None:
-    """Decided within 300 ms of the first transmission, it left when the connection came up, after them."""
+def test_repeat_is_not_sent_if_its_window_passed_while_the_connection_was_opened() -> None:
+    """It was decided within 300 ms of the first attempt, but sent when its connection opened, after them."""
     methods = [method | {"windowNs": 300_000_000} for method in SETTINGS["methods"]]
     harness = ProxyHarness(
         methods=methods, caps=SETTINGS["caps"] | {"dialTimeoutNs": 2_000_000_000}
@@ -364,142 +376,149 @@
 # Descriptors run out
 
 
-def test_a_connection_that_our_own_want_keeps_from_opening_says_so(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A process at its last descriptor took its own want for a cache that cannot be reached."""
+def test_connection_that_lacks_local_resources_reports_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A process without free descriptors took its own failure for an unreachable cache."""
     closed = socket.create_server(("127.0.0.1", 0))
-    place = closed.getsockname()
-    closed.close()  # refuses from now on
+    address = closed.getsockname()
+    closed.close()  # the address refuses connections from now on
 
-    def opened() -> BufferedConnection:
+    def open_to_closed_port() -> BufferedConnection:
         async def run() -> BufferedConnection:
-            stream = BufferedConnection(asyncio.get_running_loop())
-            open_connection(stream.loop, stream, place, 1.0)
-            while not stream.closed:
+            connection = BufferedConnection(asyncio.get_running_loop())
+            open_connection(connection.loop, connection, address, 1.0)
+            while not connection.closed:
                 await asyncio.sleep(0.001)
-            return stream
+            return connection
 
         return asyncio.run(run())
 
-    assert not opened().lacked_local_resources
-    plain = socket.socket
+    assert not open_to_closed_port().lacked_local_resources
+    create_socket = socket.socket
 
-    def none_left(*kind: object, **more: object) -> socket.socket:
-        if kind[:2] == (socket.AF_INET, socket.SOCK_STREAM):
+    def fail_without_descriptors(*arguments: object, **options: object) -> socket.socket:
+        if arguments[:2] == (socket.AF_INET, socket.SOCK_STREAM):
             raise OSError(errno.EMFILE, os.strerror(errno.EMFILE))
-        return plain(*kind, **more)
+        return create_socket(*arguments, **options)
 
-    monkeypatch.setattr("calicofall.proxy.connection.socket.socket", none_left)
-    stream = opened()
-    assert stream.lacked_local_resources and stream.close_reason == os.strerror(errno.EMFILE)
+    monkeypatch.setattr("calicofall.proxy.connection.socket.socket", fail_without_descriptors)
+    connection = open_to_closed_port()
+    assert connection.lacked_local_resources and connection.close_reason == os.strerror(errno.EMFILE)
 
 
 @pytest.mark.parametrize("starved", [True, False])
-def test_a_want_of_our_own_descriptors_speaks_against_no_cache(starved: bool) -> None:
+def test_lack_of_local_descriptors_counts_against_no_cache(starved: bool) -> None:
     harness = ProxyHarness().with_high_limits()
     client = harness.client()
     client.feed(encode_request())
     before = len(harness.loop.connect_requests)
-    stream, _ = harness.loop.connect_requests[-1]
-    stream.lacked_local_resources = starved
-    stream.abort()
-    name = stream.pool.name
+    connection, _ = harness.loop.connect_requests[-1]
+    connection.lacked_local_resources = starved
+    connection.abort()
+    name = connection.pool.name
     assert (harness.proxy.router.policy.endpoints.caches[name].admitted_fraction == 1.0) is starved
-    assert (
-        len(harness.loop.connect_requests) == before + 1 and not client.sent
-    )  # the key's next cache is tried
+    # The key's next cache is tried.
+    assert len(harness.loop.connect_requests) == before + 1 and not client.sent
 
 
 # SIGTERM
 
 
-def test_what_waits_in_the_backlog_is_taken_and_answered(live: Live) -> None:
-    """The listener closed with connections that the system had accepted: they were reset with their RPCs."""
-    open_sockets = [live.client(accepted=False) for _ in range(5)]
+def test_connections_in_the_backlog_are_accepted_and_answered(socket_harness: SocketHarness) -> None:
+    """The listener closed with connections in its backlog, which were reset with their requests."""
+    open_sockets = [socket_harness.client(accepted=False) for _ in range(5)]
     for sock in open_sockets:
         sock.sendall(encode_request(key=1))
-    assert not live.proxy.clients.connections  # none is taken yet
-    live.proxy.shutdown.begin()
-    live.proxy.stop_listening()
-    live.until(lambda: live.sent(len(open_sockets)))
+    assert not socket_harness.proxy.clients.connections  # none is accepted yet
+    socket_harness.proxy.shutdown.begin()
+    socket_harness.proxy.stop_listening()
+    socket_harness.run_until(lambda: socket_harness.has_sent(len(open_sockets)))
     for _ in open_sockets:
-        live.cache().sendall(encode_reply(b"last"))
-    live.until(lambda: live.proxy.metrics.totals()["completed"] == len(open_sockets))
-    assert [whole(sock) for sock in open_sockets] == [b"$4\r\nlast\r\n"] * 5
+        socket_harness.accept_cache_connection().sendall(encode_reply(b"last"))
+    socket_harness.run_until(lambda: socket_harness.proxy.metrics.totals()["completed"] == len(open_sockets))
+    assert [read_until_close(sock) for sock in open_sockets] == [b"$4\r\nlast\r\n"] * 5
     with pytest.raises(ConnectionRefusedError):
-        live.client(accepted=False)
+        socket_harness.client(accepted=False)
 
 
-def test_no_room_is_made_for_nobody() -> None:
-    """Behind the last that waited, one more idle client was put out."""
-    live = Live(sockets=64)
+def test_no_connection_is_closed_without_a_pending_one() -> None:
+    """After the last pending connection, one more idle client was disconnected."""
+    socket_harness = SocketHarness(sockets=64)
     try:
-        for _ in range(live.proxy.clients.max_connections):
-            live.client()
-        live.turn(0.3)  # none is new any more
-        assert len(live.proxy.clients.connections) == live.proxy.clients.max_connections
+        for _ in range(socket_harness.proxy.clients.max_connections):
+            socket_harness.client()
+        socket_harness.run_loop(0.3)  # no connection is fresh any more
+        assert len(socket_harness.proxy.clients.connections) == socket_harness.proxy.clients.max_connections
     finally:
-        live.close()
+        socket_harness.close()
 
 
-def test_a_crowd_in_the_backlog_takes_no_descriptors_beyond_the_budget() -> None:
-    """All that waited was taken, room or not: a crowd of idle clients took what RPCs in hand go by."""
-    live = Live(sockets=64)
+def test_connections_in_the_backlog_do_not_exceed_the_budget() -> None:
+    """All pending connections were accepted, and took the descriptors that requests in flight need."""
+    socket_harness = SocketHarness(sockets=64)
     try:
-        most = live.proxy.clients.max_connections
-        for _ in range(3 * most):
-            live.client(accepted=False)
-        live.proxy.shutdown.begin()
-        live.proxy.stop_listening()
+        max_connections = socket_harness.proxy.clients.max_connections
+        for _ in range(3 * max_connections):
+            socket_harness.client(accepted=False)
+        socket_harness.proxy.shutdown.begin()
+        socket_harness.proxy.stop_listening()
         assert (
-            most == 32
-            and len(live.proxy.clients.connections) + live.proxy.upstreams.connection_count() == most
+            max_connections == 32
+            and len(socket_harness.proxy.clients.connections)
+            + socket_harness.proxy.upstreams.connection_count()
+            == max_connections
         )
     finally:
-        live.close()
+        socket_harness.close()
 
 
-def test_half_a_command_at_the_end_of_rest_gets_its_answer(live: Live) -> None:
-    sock, data = live.client(), encode_request(key=1)
+def test_command_that_is_incomplete_when_idle_connections_close_gets_its_answer(
+    socket_harness: SocketHarness,
+) -> None:
+    sock, data = socket_harness.client(), encode_request(key=1)
     sock.sendall(data[:30])
-    live.until(lambda: live.proxy.clients.partial_commands)
-    live.proxy.shutdown.begin()
-    live.proxy.clients.close_idle()
+    socket_harness.run_until(lambda: socket_harness.proxy.clients.partial_commands)
+    socket_harness.proxy.shutdown.begin()
+    socket_harness.proxy.clients.close_idle()
     sock.sendall(data[30:])
-    live.until(lambda: live.sent(1))
-    live.cache().sendall(encode_reply(b"last"))
-    live.until(lambda: live.proxy.metrics.totals()["completed"] == 1)
-    assert whole(sock) == b"$4\r\nlast\r\n"
+    socket_harness.run_until(lambda: socket_harness.has_sent(1))
+    socket_harness.accept_cache_connection().sendall(encode_reply(b"last"))
+    socket_harness.run_until(lambda: socket_harness.proxy.metrics.totals()["completed"] == 1)
+    assert read_until_close(sock) == b"$4\r\nlast\r\n"
 
 
-def test_all_is_answered_before_a_kill_that_comes_early_where_deadlines_are_short() -> None:
-    """SIGKILL comes 0.7 s behind the longest deadline: at 1.3 s here, while emptying took 3.6 s."""
-    harness = ProxyHarness(methods=SHORT).with_high_limits()
+def test_all_requests_are_answered_before_an_early_kill_when_deadlines_are_short() -> None:
+    """SIGKILL is sent 0.7 s after the longest deadline, here at 1.3 s, while the shutdown took 3.6 s."""
+    harness = ProxyHarness(methods=SHORT_DEADLINE_METHODS).with_high_limits()
     harness.proxy.upkeep()
-    late, slow = harness.client(), harness.client()
-    late.feed(encode_request()[:30])  # never whole
+    incomplete, slow_client = harness.client(), harness.client()
+    incomplete.feed(encode_request()[:30])  # never complete
     data = encode_request(remaining_ms="600")
-    slow.feed(data[:30])
+    slow_client.feed(data[:30])
     harness.sigterm()
     harness.loop.advance(0.75)
-    slow.feed(data[30:])
-    harness.connect_upstream()  # a cache that says nothing
-    assert harness.proxy.active_requests and not late.sent
+    slow_client.feed(data[30:])
+    harness.connect_upstream()  # an unresponsive cache
+    assert harness.proxy.active_requests and not incomplete.sent
     harness.loop.advance(0.4)
-    assert slow.sent.startswith(b"-") and late.sent.startswith(b"-ERR") and not harness.proxy.active_requests
+    assert (
+        slow_client.sent.startswith(b"-")
+        and incomplete.sent.startswith(b"-ERR")
+        and not harness.proxy.active_requests
+    )
     harness.loop.advance(0.12)
     assert harness.proxy.stopped.done()
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
-def test_a_signal_before_there_is_an_answer_to_it_ends_no_start_by_force(
+def test_signal_before_its_handler_is_set_does_not_kill_a_starting_process(
     number: int,
     tmp_path: Path,
 ) -> None:
-    """SIGHUP on the way up killed the process: by default it ends one."""
+    """SIGHUP during the start killed the process, which is the signal's default action."""
     with socket.create_server(("127.0.0.1", 0)) as agent:
         with socket.create_server(("127.0.0.1", 0)) as sock:
-            listen = at(sock)
-        node = ProxyHarness.node_file(0) | {"listen": listen, "discovery": at(agent)}
+            listen = address_of(sock)
+        node = ProxyHarness.node_file(0) | {"listen": listen, "discovery": address_of(agent)}
         (tmp_path / "node.json").write_text(json.dumps(node))
         process = subprocess.Popen(
             [sys.executable, "-m", "calicofall", "serve"],
@@ -508,23 +527,23 @@
             env=os.environ | {"PROXY_CONFIG": str(tmp_path / "node.json"), "TMPDIR": str(tmp_path)},
         )
         try:
-            masks, end = {}, time.monotonic() + 10.0
+            masks, deadline = {}, time.monotonic() + 10.0
             while not int(masks.get("SigBlk", "0"), 16) >> (number - 1) & 1:
-                assert process.poll() is None and time.monotonic() < end
+                assert process.poll() is None and time.monotonic() < deadline
                 masks = dict(
                     line.split(":\t")
                     for line in Path(f"/proc/{process.pid}/status").read_text().splitlines()
                     if "Sig" in line
                 )
             process.send_signal(number)
-            assert not int(masks["SigCgt"], 16) >> (number - 1) & 1  # nothing there would have caught it
+            assert not int(masks["SigCgt"], 16) >> (number - 1) & 1  # no handler would have caught it
             agent.settimeout(10.0)
             if number == signal.SIGHUP:
-                agent.accept()[0].close()  # it has come as far as asking for the list
+                agent.accept()[0].close()  # the process requests the list now
                 process.send_signal(signal.SIGTERM)
-            said = process.communicate(timeout=20.0)[1].decode()
-            assert process.returncode == 0, said
-            assert ("configuration reread" in said) is (number == signal.SIGHUP)
+            log_output = process.communicate(timeout=20.0)[1].decode()
+            assert process.returncode == 0, log_output
+            assert ("configuration reread" in log_output) is (number == signal.SIGHUP)
         finally:
             process.kill()
             process.wait()
@@ -533,88 +552,91 @@
 # A watch ends
 
 
-LISTED = b'{"index": %d, "snapshot": true, "endpoints": []}\n'
+LIST_MESSAGE = b'{"index": %d, "snapshot": true, "endpoints": []}\n'
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def watching() -> tuple[FakeEventLoop, Discovery, list]:
-    loop, told = FakeEventLoop(), []
+def start_watch() -> tuple[FakeEventLoop, Discovery, list]:
+    loop, indexes = FakeEventLoop(), []
     discovery = Discovery(
         loop,
         loop.open,
         "10.2.0.1:8500",
         41,
         DiscoverySchedule(Random(1)),
-        lambda *news: told.append(news[1]),
+        lambda *event: indexes.append(event[1]),
         lambda: None,
         lambda phase: None,
     )
     discovery.start()
-    return loop, discovery, told
+    return loop, discovery, indexes
 
 
 @pytest.mark.parametrize("piece", [1, 7, 4096])
-def test_a_list_may_come_indented(piece: int) -> None:
-    """Each line of it was taken for a message, and the watch opened anew without end."""
-    loop, discovery, told = watching()
-    news = json.dumps(
+def test_list_may_be_indented_json(piece: int) -> None:
+    """Each of its lines was taken for a message, and the watch was reopened endlessly."""
+    loop, discovery, indexes = start_watch()
+    list_message = json.dumps(
         {"index": 42, "snapshot": True, "endpoints": [endpoint('c1"{['), endpoint("c2")]}, indent=2
     ).encode()
     data = CHUNKED_RESPONSE_HEAD + b"".join(
-        map(chunk, (news + b"\n", b"\n", LISTED % 43, news.replace(b"42", b"44") + b"\n"))
+        map(
+            encode_chunk,
+            (list_message + b"\n", b"\n", LIST_MESSAGE % 43, list_message.replace(b"42", b"44") + b"\n"),
+        )
     )
     transport = FakeTransport(loop.connect_requests[-1][0])
     while data:
         transport.feed(data[:piece])
         data = data[piece:]
-    assert told == [42, 43, 44] and transport.open and len(loop.connect_requests) == 1
+    assert indexes == [42, 43, 44] and transport.open and len(loop.connect_requests) == 1
 
 
-def test_half_a_message_swallows_nothing_that_comes_behind_it() -> None:
-    loop, discovery, told = watching()
+def test_incomplete_message_does_not_swallow_later_input() -> None:
+    loop, discovery, indexes = start_watch()
     transport = FakeTransport(loop.connect_requests[-1][0])
-    transport.feed(CHUNKED_RESPONSE_HEAD + chunk(b'{"index": 42, "endpoints": [\n'))
-    assert transport.open and not told
-    transport.feed(chunk(b"\n"))  # the sign of life of a watch that has nothing more to say
+    transport.feed(CHUNKED_RESPONSE_HEAD + encode_chunk(b'{"index": 42, "endpoints": [\n'))
+    assert transport.open and not indexes
+    transport.feed(encode_chunk(b"\n"))  # the keepalive of a watch without further messages
     assert not transport.open and discovery.is_down
 
 
-def test_a_former_watch_says_nothing_behind_a_later_one() -> None:
-    """Old bytes of a watch that was replaced: its list would stand until the next change."""
-    loop, discovery, told = watching()
-    old = loop.connect_requests[-1][0]
-    FakeTransport(old).feed(CHUNKED_RESPONSE_HEAD + chunk(LISTED % 42))
-    discovery.watch = None  # as while the next one is opened
+def test_replaced_watch_is_ignored() -> None:
+    """A list in late bytes of a replaced watch would stay in force until the next change."""
+    loop, discovery, indexes = start_watch()
+    old_watch = loop.connect_requests[-1][0]
+    FakeTransport(old_watch).feed(CHUNKED_RESPONSE_HEAD + encode_chunk(LIST_MESSAGE % 42))
+    discovery.watch = None  # as while the next watch is opened
     discovery.attempt()
-    assert loop.connect_requests[-1][0] is not old and not old.closed
-    old.transport.feed(chunk(LISTED % 7))
-    assert told == [42] and discovery.version == 42
+    assert loop.connect_requests[-1][0] is not old_watch and not old_watch.closed
+    old_watch.transport.feed(encode_chunk(LIST_MESSAGE % 7))
+    assert indexes == [42] and discovery.version == 42
 
 
-def test_a_service_that_comes_back_is_heard_within_the_grace() -> None:
-    """Pauses between two tries grew to half a second: what it tells at its return binds after 0.25 s."""
-    loop, discovery, _ = watching()
-    gaps, last = [], 0.0
-    for _ in range(6):  # it takes connections, and says nothing
+def test_returning_service_is_reached_within_the_grace_period() -> None:
+    """Pauses between attempts grew to half a second; the list of a returning service binds after 0.25 s."""
+    loop, discovery, _ = start_watch()
+    pauses_s, closed_at = [], 0.0
+    for _ in range(6):  # the service accepts connections and sends nothing
         transport = FakeTransport(loop.connect_requests[-1][0])
-        tried = len(loop.connect_requests)
+        attempt_count = len(loop.connect_requests)
         while transport.open:
             loop.advance(0.01)
-        last = loop.time()
-        while len(loop.connect_requests) == tried:
+        closed_at = loop.time()
+        while len(loop.connect_requests) == attempt_count:
             loop.advance(0.01)
-        gaps.append(loop.time() - last)
-    assert max(gaps) < 0.15
+        pauses_s.append(loop.time() - closed_at)
+    assert max(pauses_s) < 0.15
 
 
-# A cache's answer breaks off
+# A cache's answer is truncated
 
 
-def test_an_answer_that_breaks_off_is_told_to_the_module() -> None:
-    """Suspected of being kept from it; found sound."""
+def test_truncated_answer_is_reported_to_the_router() -> None:
+    """A suspected fault that was not found: the router might not have learned of the failure."""
     harness, value = ProxyHarness().with_high_limits(), Random(1).randbytes(100_000)
     client = harness.client()
     client.feed(encode_request())
@@ -627,15 +649,15 @@
     assert not client.open and not harness.proxy.active_requests and not harness.proxy.router.active_requests
 
 
-# A fault of our own
+# An exception in the proxy itself
 
 
-def test_a_fault_in_one_round_of_upkeep_does_not_end_it() -> None:
-    """The next round was asked for last: silent clients and half commands would have been kept for good."""
+def test_exception_in_one_round_of_upkeep_does_not_end_it() -> None:
+    """The next round was scheduled last: silent clients and incomplete commands would have stayed forever."""
     harness, silent = ProxyHarness(), None
-    sweep, harness.proxy.clients.close_overdue = harness.proxy.clients.close_overdue, lambda: 1 / 0
+    close_overdue, harness.proxy.clients.close_overdue = harness.proxy.clients.close_overdue, lambda: 1 / 0
     with pytest.raises(ZeroDivisionError):
         harness.proxy.upkeep()
-    harness.proxy.clients.close_overdue, silent = sweep, harness.client()
+    harness.proxy.clients.close_overdue, silent = close_overdue, harness.client()
     harness.loop.advance(3.0)
     assert not silent.open
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Leases: how processes of one proxy know of each other, and what both together may take."""
+"""Process locks: how processes of one proxy detect each other and share the limits."""
 
 import fcntl
 import os
@@ -8,13 +8,13 @@
 from helpers import ProxyHarness, encode_reply, encode_request, endpoint
 
 from calicofall.proxy import graceful_shutdown, resp
-from calicofall.proxy import process_lock as leases
+from calicofall.proxy import process_lock as process_lock_module
 from calicofall.proxy.clients import ClientConnections
 from calicofall.proxy.process_lock import ProcessLock
 from calicofall.proxy.server import RESERVED_DESCRIPTORS
 
 
-def test_processes_of_one_proxy_know_of_each_other_and_who_serves(tmp_path: Path) -> None:
+def test_processes_of_one_proxy_detect_each_other_and_which_one_serves(tmp_path: Path) -> None:
     first, stranger = ProcessLock("n0", str(tmp_path)), ProcessLock("n1", str(tmp_path))
     assert not first.refresh() and first.other_process_count == 0
     first.mark_serving()
@@ -30,73 +30,82 @@
     assert not list(tmp_path.iterdir())
 
 
-def test_what_a_killed_process_left_behind_means_nothing_and_goes(tmp_path: Path) -> None:
-    """A file alone would have kept the next process to half of its limits for good."""
-    lease = ProcessLock("n0", str(tmp_path))
-    left = Path(lease.folder) / "dead"
-    left.write_bytes(leases.SERVING_STATE)
-    assert not lease.refresh() and not left.exists() and os.listdir(lease.folder) == [Path(lease.path).name]
+def test_file_of_a_killed_process_is_ignored_and_removed(tmp_path: Path) -> None:
+    """Without the lock, a leftover file would have kept the next process at half of its limits forever."""
+    process_lock = ProcessLock("n0", str(tmp_path))
+    leftover = Path(process_lock.folder) / "dead"
+    leftover.write_bytes(process_lock_module.SERVING_STATE)
+    assert (
+        not process_lock.refresh()
+        and not leftover.exists()
+        and os.listdir(process_lock.folder) == [Path(process_lock.path).name]
+    )
 
 
-def test_a_file_taken_for_nobodys_before_it_was_locked_is_made_anew(
+def test_file_that_was_removed_before_it_was_locked_is_created_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    make, made = leases.mkstemp, []
+    create_file, created = process_lock_module.mkstemp, []
 
-    def robbed(**where: str) -> tuple[int, str]:
-        made.append(make(**where))
-        if len(made) == 1:
-            os.unlink(made[0][1])
-        return made[-1]
+    def create_and_remove_first(**arguments: str) -> tuple[int, str]:
+        created.append(create_file(**arguments))
+        if len(created) == 1:
+            os.unlink(created[0][1])
+        return created[-1]
 
-    monkeypatch.setattr(leases, "mkstemp", robbed)
-    lease, other = ProcessLock("n0", str(tmp_path)), ProcessLock("n0", str(tmp_path))
-    assert len(made) == 3 and other.refresh() and other.other_process_count == 1 and lease.path == made[1][1]
+    monkeypatch.setattr(process_lock_module, "mkstemp", create_and_remove_first)
+    process_lock, other = ProcessLock("n0", str(tmp_path)), ProcessLock("n0", str(tmp_path))
+    assert (
+        len(created) == 3
+        and other.refresh()
+        and other.other_process_count == 1
+        and process_lock.path == created[1][1]
+    )
 
 
-def test_without_a_folder_or_a_lock_the_sharing_alone_is_lost(
+def test_without_a_folder_or_a_lock_only_the_sharing_of_limits_is_lost(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     missing = ProcessLock("n0", str(tmp_path / "missing"))
     assert not missing.refresh() and not missing.refresh() and missing.other_process_count == 0
     missing.mark_serving()
     missing.release()
-    assert [record.message for record in caplog.records] == ["no lease"]  # once
+    assert [record.message for record in caplog.records] == ["no lease"]  # logged once
 
-    def refused(_file: int, _how: int) -> None:
+    def fail_lock(_file: int, _operation: int) -> None:
         raise OSError(37, "no locks available")
 
-    monkeypatch.setattr(fcntl, "flock", refused)
-    lease = ProcessLock("n0", str(tmp_path))
-    assert not lease.refresh() and lease.descriptor == -1 and not list(tmp_path.iterdir())
+    monkeypatch.setattr(fcntl, "flock", fail_lock)
+    process_lock = ProcessLock("n0", str(tmp_path))
+    assert not process_lock.refresh() and process_lock.descriptor == -1 and not list(tmp_path.iterdir())
 
 
-def test_a_full_folder_leaves_a_process_that_serves(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    lease = ProcessLock("n0", str(tmp_path))
+def test_process_serves_on_a_full_file_system(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    process_lock = ProcessLock("n0", str(tmp_path))
 
-    def full(_file: int, _data: bytes, _at: int) -> None:
+    def fail_write(_file: int, _data: bytes, _offset: int) -> None:
         raise OSError(28, "no space left")
 
-    monkeypatch.setattr(os, "pwrite", full)
-    lease.mark_serving()
+    monkeypatch.setattr(os, "pwrite", fail_write)
+    process_lock.mark_serving()
     other = ProcessLock("n0", str(tmp_path))
     assert (
         other.descriptor == -1
         and other.refresh()
         and (other.other_process_count, other.serving_process_count) == (1, 0)
     )
-    lease.release()
+    process_lock.release()
     assert not list(tmp_path.iterdir())
 
 
-def pair(tmp_path: Path, harness: ProxyHarness) -> ProcessLock:
+def add_serving_process(tmp_path: Path, harness: ProxyHarness) -> ProcessLock:
     harness.proxy.process_lock = ProcessLock("n0", str(tmp_path))
     other = ProcessLock("n0", str(tmp_path))
     other.mark_serving()
     return other
 
 
-def test_two_processes_keep_to_the_limits_of_one(tmp_path: Path) -> None:
+def test_two_processes_stay_within_the_limits_of_one(tmp_path: Path) -> None:
     harness = ProxyHarness(caches=3, sockets=256).with_high_limits()
     clients = [harness.client() for _ in range(120)]
     for client in clients:
@@ -107,11 +116,13 @@
         client.feed(encode_request(key=number))
     upstreams = [harness.connect_upstream(number) for number in range(len(harness.loop.connect_requests))]
     assert harness.proxy.upstreams.connection_count() == 30
-    other = pair(tmp_path, harness)
+    other = add_serving_process(tmp_path, harness)
     harness.proxy.adjust_to_processes()
-    most = 256 // 2 - RESERVED_DESCRIPTORS
-    assert len(harness.proxy.clients.connections) + harness.proxy.upstreams.connection_count() <= most
-    assert all(client.open for client in busy)  # what rests goes, the longest first
+    max_connections = 256 // 2 - RESERVED_DESCRIPTORS
+    assert (
+        len(harness.proxy.clients.connections) + harness.proxy.upstreams.connection_count() <= max_connections
+    )
+    assert all(client.open for client in busy)  # idle connections are closed, the longest idle first
     assert harness.proxy.router.policy.settings.process_count == 2
     for upstream in upstreams:
         upstream.feed(encode_reply())
@@ -125,88 +136,88 @@
     )
 
 
-def test_a_cold_cache_gets_from_two_processes_what_it_gets_from_one() -> None:
-    """The new process knows nothing of what the old one sends: each takes half of the part."""
-    sent = {}
-    for parts in (1, 2):
+def test_cold_cache_gets_as_many_requests_from_two_processes_as_from_one() -> None:
+    """The new process does not know what the old one sends: each uses half of the proxy's share."""
+    admitted = {}
+    for process_count in (1, 2):
         harness = ProxyHarness(caches=2).with_high_limits()
         policy = harness.proxy.router.policy
         harness.push_endpoint_list(
             endpoint("c1") | {"since_ms": harness.proxy.now_ms()}, endpoint("c3") | {"since_ms": 1}
         )
-        harness.proxy.router.set_process_count(parts)
-        cold = policy.endpoints.caches["c1"]
-        cold.warming_requests = type("Wishes", (), {"add": lambda *_: None, "count": lambda *_: 0.0})()
+        harness.proxy.router.set_process_count(process_count)
+        cold_cache = policy.endpoints.caches["c1"]
+        cold_cache.warming_requests = type(
+            "FakeRequestCounter", (), {"add": lambda *_: None, "count": lambda *_: 0.0}
+        )()
         policy.key_counts.counts[0][7] = 10
-        sent[parts] = sum(
-            policy.slow_start.admits(harness.proxy.now_ms(), 7, cold, policy.random_generator)
+        admitted[process_count] = sum(
+            policy.slow_start.admits(harness.proxy.now_ms(), 7, cold_cache, policy.random_generator)
             for _ in range(20_000)
         )
-    assert sent[1] > 200 and 0.4 < sent[2] / sent[1] < 0.6
+    assert admitted[1] > 200 and 0.4 < admitted[2] / admitted[1] < 0.6
 
 
-class Door:
-    """A listener that holds two connections when it closes."""
+class FakeListener:
+    """A listener with two pending connections when it closes."""
 
     def __init__(self, clients: ClientConnections) -> None:
-        self.clients, self.steps, self.open = clients, [], True
+        self.clients, self.calls, self.open = clients, [], True
 
     def close(self) -> None:
-        self.steps.append("close")
+        self.calls.append("close")
         self.clients.add_client()
         self.clients.add_client()
 
 
-def test_sigterm_hands_over_to_a_process_that_serves(tmp_path: Path) -> None:
-    """Connections that the listener held were reset, and each resting one was closed while requests came."""
+def test_sigterm_hands_over_to_a_serving_process(tmp_path: Path) -> None:
+    """Pending connections of the listener were reset, and idle ones were closed while requests arrived."""
     harness = ProxyHarness().with_high_limits()
     harness.proxy.upkeep()
-    harness.proxy.listener = Door(harness.proxy.clients)
-    other = pair(tmp_path, harness)
-    resting, busy, probe = harness.client(), harness.client(), harness.client()
-    resting.feed(resp.encode_command([b"PING"]))
+    harness.proxy.listener = FakeListener(harness.proxy.clients)
+    other = add_serving_process(tmp_path, harness)
+    idle, busy, probe = harness.client(), harness.client(), harness.client()
+    idle.feed(resp.encode_command([b"PING"]))
     busy.feed(encode_request())
     harness.sigterm()
-    assert harness.proxy.listener.steps == [
-        "close"
-    ]  # in the same turn, with all that it held (test_endings.py)
+    assert harness.proxy.listener.calls == ["close"]  # at once, with its pending connections
     probe.feed(resp.encode_command([b"PING"]))
-    assert probe.sent == b"+PONG\r\n" and probe.eof_written  # this proxy goes on: its other process serves
+    assert probe.sent == b"+PONG\r\n" and probe.eof_written  # the proxy's other process serves
     harness.connect_upstream().feed(encode_reply(b"last"))
     assert busy.sent == b"$4\r\nlast\r\n" and busy.eof_written
-    # They rest as long as they may, within what is left before a kill: deadlines are 2 s at most here.
+    # Idle connections stay open as long as the time before a kill allows: here deadlines are at most 2 s.
     harness.loop.advance(
         min(graceful_shutdown.REPLACED_IDLE_CLOSE_DELAY_S, 2.0 + graceful_shutdown.OVERDUE_CLOSE_DELAY_S)
         - 0.01
     )
-    assert resting.open and not resting.eof_written and not harness.proxy.stopped.done()
+    assert idle.open and not idle.eof_written and not harness.proxy.stopped.done()
     harness.loop.advance(0.5)
-    assert not resting.open and harness.proxy.stopped.done()
+    assert not idle.open and harness.proxy.stopped.done()
     other.release()
 
 
-def test_sigterm_goes_on_taking_connections_while_the_other_process_only_starts(tmp_path: Path) -> None:
+def test_connections_are_accepted_after_sigterm_while_the_other_process_is_starting(tmp_path: Path) -> None:
     harness = ProxyHarness()
-    harness.proxy.listener = Door(harness.proxy.clients)
+    harness.proxy.listener = FakeListener(harness.proxy.clients)
     harness.proxy.process_lock = ProcessLock("n0", str(tmp_path))
     ProcessLock("n0", str(tmp_path))
     harness.sigterm()
-    assert not harness.proxy.listener.steps and harness.proxy.clients.rejects_ping
+    assert not harness.proxy.listener.calls and harness.proxy.clients.rejects_ping
     harness.loop.advance(1.0)
-    assert harness.proxy.listener.steps == ["close"]
+    assert harness.proxy.listener.calls == ["close"]
 
 
-def test_a_folder_that_went_with_its_last_process_is_made_anew(
+def test_folder_that_was_removed_by_its_last_process_is_created_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    make, tries = leases.mkstemp, []
+    create_file, attempts = process_lock_module.mkstemp, []
 
-    def gone(**where: str) -> tuple[int, str]:
-        tries.append(where)
-        if len(tries) == 1:
+    def fail_first(**arguments: str) -> tuple[int, str]:
+        attempts.append(arguments)
+        if len(attempts) == 1:
             raise FileNotFoundError(2, "no such folder")
-        return make(**where)
+        return create_file(**arguments)
 
-    monkeypatch.setattr(leases, "mkstemp", gone)
-    lease = ProcessLock("n0", str(tmp_path))
-    assert len(tries) == 2 and lease.descriptor >= 0 and not lease.failure_logged
+    monkeypatch.setattr(process_lock_module, "mkstemp", fail_first)
+    process_lock = ProcessLock("n0", str(tmp_path))
+    assert len(attempts) == 2 and process_lock.descriptor >= 0 and not process_lock.failure_logged
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The life of RPCs on fake transports and time: a small test for each break looked for."""
+"""Requests through a proxy on fake transports and a fake clock: a small test for each kind of failure."""
 
 import errno
 import gc
@@ -29,7 +29,7 @@
 from calicofall.simulator_adapter import host
 
 
-def test_a_read_goes_to_a_cache_and_its_answer_to_the_client() -> None:
+def test_read_is_sent_to_a_cache_and_its_answer_to_the_client() -> None:
     harness = ProxyHarness()
     client = harness.client()
     client.feed(encode_request())
@@ -38,9 +38,9 @@
     upstream.feed(encode_reply(b"fresh"))
     assert client.take() == b"$5\r\nfresh\r\n"
     client.feed(encode_request())
-    assert upstream.sent and len(harness.loop.connect_requests) == 1  # the connection is used again
+    assert upstream.sent and len(harness.loop.connect_requests) == 1  # the connection is reused
     upstream.feed(b"-BUSY\r\n")
-    assert len(harness.loop.connect_requests) == 2  # proven not run: sent to the next at once
+    assert len(harness.loop.connect_requests) == 2  # certain not to have run: sent to the next cache at once
     harness.connect_upstream().feed(encode_reply(b"other"))
     assert client.take() == b"$5\r\nother\r\n" and not harness.proxy.active_requests
 
@@ -60,7 +60,7 @@
         (encode_request().replace(b"acme", b"none"), b"-ERR unkno"),
     ],
 )
-def test_bad_commands_are_answered_and_the_connection_goes_on(data: bytes, answer: bytes) -> None:
+def test_invalid_commands_are_answered_and_the_connection_stays_open(data: bytes, answer: bytes) -> None:
     client = ProxyHarness().client()
     client.feed(data)
     assert client.take().startswith(answer)
@@ -68,11 +68,11 @@
     assert client.take() == b"+PONG\r\n" and client.open
 
 
-def test_lost_framing_is_answered_then_closed() -> None:
+def test_invalid_framing_is_answered_and_the_connection_closed() -> None:
     harness = ProxyHarness()
     client = harness.client()
     client.feed(encode_request() + b"GET / HTTP/1.1\r\n" + resp.encode_command([b"PING"]))
-    assert not client.sent  # in order: the RPC before it is answered first
+    assert not client.sent  # in order: the request before it is answered first
     harness.connect_upstream().feed(encode_reply(b"late"))
     assert client.sent == b"$4\r\nlate\r\n-ERR not RESP2\r\n"
     client.feed(bytes(100_000))
@@ -80,7 +80,7 @@
     assert not client.open and client.sent.count(b"ERR") == 1
 
 
-def test_answers_come_in_the_order_of_commands() -> None:
+def test_answers_are_in_the_order_of_the_commands() -> None:
     harness = ProxyHarness()
     client = harness.client()
     client.feed(encode_request(key=1) + encode_request(key=1) + resp.encode_command([b"PING"]))
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize(
-    "method,up,answer",
+    "method,established,answer",
     [
         ("read", True, b"-BUSY"),
         ("order", True, b"-ERR errored"),
@@ -101,24 +101,24 @@
         ("save", False, b"-BUSY"),
     ],
 )
-def test_a_connection_that_broke_proves_not_run_only_before_it_was_up(
-    method: str, up: bool, answer: bytes
+def test_closed_connection_proves_that_a_command_has_not_run_only_before_it_was_established(
+    method: str, established: bool, answer: bytes
 ) -> None:
     harness = ProxyHarness(caches=1)
     client = harness.client()
     client.feed(encode_request(method))
-    if up:
+    if established:
         harness.connect_upstream().abort()
     else:
-        harness.loop.connect_requests[0][0].abort()  # refused, or never came up
+        harness.loop.connect_requests[0][0].abort()  # refused, or never established
     harness.loop.advance()
     assert client.sent.startswith(answer)
 
 
-def test_what_still_lay_in_our_buffer_has_not_run() -> None:
-    """Bytes held back behind a full socket never left: only those count as proof."""
+def test_command_still_in_the_output_queue_has_not_run() -> None:
+    """Only bytes that are still queued behind a full socket prove that a command has not run."""
     harness = ProxyHarness(caches=1)
-    harness.proxy.upstreams.max_connections_per_endpoint = 1  # the second is written behind the first
+    harness.proxy.upstreams.max_connections_per_endpoint = 1  # the second command is written after the first
     client, other = harness.client(), harness.client()
     client.feed(encode_request("order", key=1, value=bytes(50_000)))
     upstream = harness.connect_upstream(pause_after_bytes=100)
@@ -129,7 +129,7 @@
     assert client.sent.startswith(b"-ERR errored") and other.sent.startswith(b"-BUSY ")
 
 
-def test_a_late_reply_is_matched_to_nothing() -> None:
+def test_late_reply_is_discarded() -> None:
     harness = ProxyHarness(caches=1)
     harness.proxy.upstreams.max_connections_per_endpoint = 1
     client, other = harness.client(), harness.client()
@@ -137,33 +137,36 @@
     upstream = harness.connect_upstream()
     other.feed(encode_request(remaining_ms="900"))
     harness.loop.advance(0.2)
-    assert client.take().startswith(b"-BUSY") and upstream.open  # another still waits on the connection
+    assert client.take().startswith(b"-BUSY") and upstream.open  # shared with another command
     upstream.feed(encode_reply(b"late") + encode_reply(b"fresh"))
     assert other.sent == b"$5\r\nfresh\r\n" and not client.sent
 
 
-def test_a_connection_whose_answer_is_overdue_takes_nothing_new() -> None:
-    """A silent machine's open connections held RPC after RPC; a new one that fails proves them not run."""
+def test_connection_with_an_overdue_answer_gets_no_new_command() -> None:
+    """Open connections to an unresponsive machine used to be given request after request.
+
+    When a new connection fails instead, its command is certain not to have run.
+    """
     harness = ProxyHarness(caches=1).with_high_limits()
     harness.proxy.upstreams.max_connections_per_endpoint = 2
     clients = [harness.client() for _ in range(5)]
     for client, remaining_ms in zip(clients[:4], ("100", "100", "900", "900"), strict=True):
         client.feed(encode_request(remaining_ms=remaining_ms))
     first, second = harness.connect_upstream(0), harness.connect_upstream(1)
-    assert len(harness.loop.connect_requests) == 2  # two have one each, the others share
+    assert len(harness.loop.connect_requests) == 2  # two have one command each, the others share
     harness.loop.advance(0.2)
     assert first.open and second.open
     harness.proxy.router.policy.endpoints.caches["c1"].reinstate()
     clients[4].feed(encode_request(remaining_ms="300"))
     assert len(harness.loop.connect_requests) == 3
-    first.feed(encode_reply(b"late") + encode_reply(b"fresh"))  # it speaks again
+    first.feed(encode_reply(b"late") + encode_reply(b"fresh"))  # the cache responds again
     assert clients[2].sent == b"$5\r\nfresh\r\n" and first.open
     clients[0].feed(encode_request())
     assert len(harness.loop.connect_requests) == 3
 
 
-def test_what_is_called_off_early_is_sent_elsewhere_and_out_only_once() -> None:
-    """On a connection that others shared the first copy was still out while the second went elsewhere."""
+def test_cancelled_command_is_sent_to_another_cache_and_is_in_flight_only_once() -> None:
+    """On a shared connection, the first copy was in flight while the second was sent to another cache."""
     for shared in (False, True):
         harness = ProxyHarness(caches=2).with_high_limits()
         harness.proxy.upstreams.max_connections_per_endpoint, policy = 1, harness.proxy.router.policy
@@ -180,8 +183,8 @@
         assert client.sent == b"$3\r\none\r\n"
 
 
-def test_connections_rest_ready_before_they_are_needed() -> None:
-    """A busy cache does a handshake behind its other work: first answers took two to four times as long."""
+def test_connections_are_opened_before_they_are_needed() -> None:
+    """A busy cache does handshakes after its other work: first answers took two to four times as long."""
     harness = ProxyHarness(caches=1, connect_ahead=True).with_high_limits()
     assert len(harness.loop.connect_requests) == MIN_IDLE_CONNECTIONS
     upstreams = [harness.connect_upstream(number) for number in range(MIN_IDLE_CONNECTIONS)]
@@ -197,13 +200,12 @@
         sum(upstream.open for upstream in upstreams) == MIN_IDLE_CONNECTIONS - 1
         and harness.proxy.upstreams.connection_count() == 2 * MIN_IDLE_CONNECTIONS - 1
     )
-    for many in (8, 300):
-        assert not ProxyHarness(
-            caches=1, connect_ahead=True, balancers=many
-        ).loop.connect_requests  # together they pay for them
+    for proxies in (8, 300):
+        # Large fleets open no connections ahead.
+        assert not ProxyHarness(caches=1, connect_ahead=True, balancers=proxies).loop.connect_requests
 
 
-def test_a_transmission_given_up_closes_its_connection() -> None:
+def test_timed_out_command_closes_its_connection() -> None:
     harness = ProxyHarness()
     client = harness.client()
     client.feed(encode_request(remaining_ms="100"))
@@ -212,8 +214,8 @@
     assert client.sent.startswith(b"-BUSY") and not upstream.open and not harness.proxy.active_requests
 
 
-def test_time_that_is_up_before_a_connection_came_up_proves_not_run() -> None:
-    """It was called a time-out, which may have run: a non-retriable RPC was errored, not exhausted."""
+def test_command_that_times_out_before_its_connection_is_established_has_not_run() -> None:
+    """Such a command was reported as timed out: a non-retriable request was errored, not exhausted."""
     harness = ProxyHarness(caches=1)
     client = harness.client()
     client.feed(encode_request("order", remaining_ms="100"))
@@ -221,8 +223,8 @@
     assert client.sent.startswith(b"-BUSY") and not harness.proxy.router.policy.endpoints.caches["c1"].ejected
 
 
-def test_little_is_read_ahead_once_much_is_in_hand() -> None:
-    """Many clients that pipeline large values would fill the memory there is."""
+def test_read_ahead_is_limited_by_the_memory_of_buffered_commands() -> None:
+    """Many clients that pipeline large values would use up the memory."""
     harness = ProxyHarness()
     harness.proxy.clients.buffered_bytes = harness.proxy.clients.read_ahead_bytes
     client = harness.client()
@@ -234,7 +236,7 @@
     assert client.sent == b"$3\r\none\r\n" and len(client.stream.replies) == 1
 
 
-def test_a_client_that_leaves_has_its_rpc_called_off() -> None:
+def test_request_of_a_client_that_disconnects_is_cancelled() -> None:
     harness = ProxyHarness()
     client = harness.client()
     client.feed(encode_request())
@@ -245,7 +247,7 @@
     )
 
 
-def test_a_client_that_leaves_while_a_connection_comes_up_sends_nothing() -> None:
+def test_nothing_is_sent_for_a_client_that_disconnects_while_a_connection_is_opened() -> None:
     harness = ProxyHarness()
     client = harness.client()
     client.feed(encode_request())
@@ -275,8 +277,8 @@
         b"*3\r\n$1\r\nx\r\n+hit",
     ],
 )
-def test_a_spoilt_answer_may_have_run_and_is_seen_at_once(data: bytes) -> None:
-    """Lines that could be none were waited for until their end, and each cache was set aside for a reset."""
+def test_command_with_a_malformed_reply_may_have_run_and_fails_at_once(data: bytes) -> None:
+    """Lines that were already invalid were read to their end, and the cache was ejected for a reset."""
     harness = ProxyHarness(caches=2)
     client, other = harness.client(), harness.client()
     client.feed(encode_request("order"))
@@ -292,8 +294,8 @@
     )
 
 
-def test_an_answer_that_begins_and_does_not_end_is_spoilt() -> None:
-    """It was waited for until the RPC's time was up."""
+def test_reply_that_stalls_is_malformed() -> None:
+    """It used to be awaited until the deadline of its request."""
     harness = ProxyHarness(caches=2)
     client = harness.client()
     client.feed(encode_request())
@@ -301,7 +303,7 @@
     for _ in range(3):
         upstream.feed(b"*3\r\n$500\r\nx"[:8] if upstream.stream.parser.array is None else b"1")
         harness.loop.advance(0.05)
-    assert upstream.open  # it goes on coming
+    assert upstream.open  # more of the reply keeps arriving
     harness.loop.advance(0.05)
     assert not upstream.open
     harness.connect_upstream().feed(encode_reply(b"elsewhere"))
@@ -311,7 +313,7 @@
 @pytest.mark.parametrize(
     "rest", [b"$9\r\n\xffx=,,1,=\r\n", b":5\r\n", b"\x00\x01", b"$99", b"$-7\r\n", b"$4\r\nabcdefg"]
 )
-def test_an_answer_whose_report_alone_cannot_be_read_is_good(rest: bytes) -> None:
+def test_reply_with_a_malformed_load_report_is_valid(rest: bytes) -> None:
     harness = ProxyHarness()
     client = harness.client()
     client.feed(encode_request("order"))
@@ -321,22 +323,22 @@
     assert client.sent == b"$4\r\ngood\r\n"
 
 
-def test_values_of_hundreds_of_kilobytes_are_passed_on() -> None:
-    """On a day of large values one answer in five was called too large, and its cache's connection cut."""
+def test_values_of_hundreds_of_kilobytes_are_forwarded() -> None:
+    """With large values, one answer in five was rejected as too large and its connection closed."""
     harness = ProxyHarness().with_high_limits()
-    client, slow = harness.client(), harness.client(pause_after_bytes=100_000)
+    client, slow_client = harness.client(), harness.client(pause_after_bytes=100_000)
     value = Random(1).randbytes(370_000)
-    for peer in (client, slow):
-        peer.feed(encode_request())
+    for receiver in (client, slow_client):
+        receiver.feed(encode_request())
         harness.connect_upstream().feed(encode_reply(value))
     assert client.take() == resp.encode_bulk(value)
-    slow.pause_after_bytes = None
-    slow.stream.resume_writing()
-    assert slow.take() == resp.encode_bulk(value) and slow.open
+    slow_client.pause_after_bytes = None
+    slow_client.stream.resume_writing()
+    assert slow_client.take() == resp.encode_bulk(value) and slow_client.open
 
 
 @pytest.mark.parametrize("more", [encode_reply(b"stray"), b"\xff", b"*"])
-def test_a_good_answer_with_more_behind_it_is_completed_and_its_connection_closed(more: bytes) -> None:
+def test_valid_reply_followed_by_more_input_is_completed_and_its_connection_closed(more: bytes) -> None:
     harness = ProxyHarness()
     client = harness.client()
     client.feed(encode_request())
@@ -345,8 +347,8 @@
     assert not upstream.open and client.sent == b"$5\r\nfresh\r\n"
 
 
-def test_a_connection_that_has_rested_a_while_goes_first() -> None:
-    """Some caches close right behind an answer: what was written there at once had perhaps run."""
+def test_connection_that_has_been_idle_for_a_while_is_preferred() -> None:
+    """Some caches close a connection right after an answer: a command written to it at once may have run."""
     harness = ProxyHarness(caches=1).with_high_limits()
     clients = [harness.client() for _ in range(3)]
     for client in clients[:2]:
@@ -360,21 +362,21 @@
     assert len(upstreams[0].sent) > sent[0] and len(upstreams[1].sent) == sent[1]
 
 
-def test_a_copy_that_lies_unread_is_not_taken_for_the_next_answer() -> None:
-    """A second copy that came apart from the first was matched to the next RPC on the connection."""
+def test_unread_duplicate_reply_is_not_matched_to_the_next_command() -> None:
+    """A duplicate reply that arrived separately was matched to the next request on the connection."""
     harness = ProxyHarness(caches=1)
     client = harness.client()
     client.feed(encode_request())
     upstream = harness.connect_upstream()
     upstream.feed(encode_reply())
-    upstream.stream.poller = type("Eye", (), {"poll": lambda self, wait: [(5, 1)]})()
+    upstream.stream.poller = type("FakePoller", (), {"poll": lambda self, wait: [(5, 1)]})()
     client.feed(encode_request())
     assert not upstream.open and upstream.sent.count(b"C.GET") == 1
     harness.connect_upstream().feed(encode_reply(b"other"))
     assert client.sent == b"$5\r\nfresh\r\n$5\r\nother\r\n"
 
 
-def test_idle_connections_are_retired_before_the_caches_close_them() -> None:
+def test_idle_connections_are_closed_before_the_caches_close_them() -> None:
     harness = ProxyHarness()
     harness.client().feed(encode_request())
     upstream = harness.connect_upstream()
@@ -387,15 +389,15 @@
     assert not upstream.open
 
 
-def test_a_drained_cache_gets_nothing_new() -> None:
-    """What waited for a connection to it is sent elsewhere, what is out is finished."""
+def test_draining_cache_gets_no_new_command() -> None:
+    """A request that waits for a connection to it is sent to another cache; one in flight is finished."""
     harness = ProxyHarness(caches=2)
     client, other = harness.client(), harness.client()
     client.feed(encode_request(key=5))
-    owner = next(name for name, pool in harness.proxy.upstreams.pools.items() if pool.connections)
+    cache = next(name for name, pool in harness.proxy.upstreams.pools.items() if pool.connections)
     upstream = harness.connect_upstream()
     other.feed(encode_request(key=5))
-    harness.push_endpoint_list(endpoint(owner, "DRAINING"))
+    harness.push_endpoint_list(endpoint(cache, "DRAINING"))
     assert harness.loop.connect_requests[1][0].closed and len(harness.loop.connect_requests) == 3
     upstream.feed(encode_reply(b"done"))
     assert client.sent == b"$4\r\ndone\r\n" and not upstream.open
@@ -403,7 +405,7 @@
     assert other.sent == b"$9\r\nelsewhere\r\n"
 
 
-def test_an_address_changes_under_one_name() -> None:
+def test_endpoint_changes_its_address() -> None:
     harness = ProxyHarness(caches=1)
     client = harness.client()
     client.feed(encode_request())
@@ -416,68 +418,73 @@
     upstream = harness.connect_upstream()
     harness.push_endpoint_list(endpoint("c1", address="10.9.9.10:7000"))
     upstream.feed(encode_reply())
-    assert not upstream.open  # what was out is finished, and nothing more goes to the old address
+    assert not upstream.open  # the command in flight is finished, and no other is sent to the old address
 
 
-def test_connections_are_capped_within_the_descriptors() -> None:
-    harness = ProxyHarness(
-        caches=2, sockets=64
-    ).with_high_limits()  # 32 for both, twelve of them for caches at most
+def test_connections_are_limited_by_the_descriptors() -> None:
+    # There are 32 connections for clients and caches, at most twelve of them for caches.
+    harness = ProxyHarness(caches=2, sockets=64).with_high_limits()
     clients = [harness.client() for _ in range(20)]
     for number, client in enumerate(clients):
         client.feed(encode_request(key=number) + encode_request(key=number + 100))
     assert harness.proxy.upstreams.connection_count() == 12 and len(harness.proxy.active_requests) == 40
-    assert harness.client() is None  # none is idle: who comes has to wait
+    assert harness.client() is None  # no connection is idle: a new client has to wait
     assert all(client.open for client in clients)
 
 
-def test_who_comes_takes_the_place_of_one_that_says_nothing_or_is_idle_longest() -> None:
-    """A crowd of silent connections put out those of clients that ask, and the newcomers themselves."""
+def test_new_client_displaces_a_silent_connection_or_the_longest_idle_one() -> None:
+    """Many silent connections used to displace those of active clients, and even the new ones."""
     harness = ProxyHarness(sockets=64).with_high_limits()
-    usual = [harness.client() for _ in range(16)]
-    for client in usual:
+    active_clients = [harness.client() for _ in range(16)]
+    for client in active_clients:
         client.feed(resp.encode_command([b"PING"]))
-    mute = [harness.client() for _ in range(16)]
+    silent_clients = [harness.client() for _ in range(16)]
     harness.loop.advance(0.5)
-    come = [harness.client() for _ in range(16)]
-    assert all(client.open for client in usual + come) and not any(client.open for client in mute)
-    late = harness.client()  # those without a byte have only just come: the idle one goes
-    assert not usual[0].open and all(client.open for client in [*usual[1:], *come, late])
+    new_clients = [harness.client() for _ in range(16)]
+    assert all(client.open for client in active_clients + new_clients) and not any(
+        client.open for client in silent_clients
+    )
+    last_client = harness.client()  # those without input are still fresh, so the idle one is closed
+    assert not active_clients[0].open and all(
+        client.open for client in [*active_clients[1:], *new_clients, last_client]
+    )
 
 
-def test_connections_that_ask_once_and_stay_are_closed_where_many_rest() -> None:
-    """Clients share a third of the descriptors: 128 that stayed idle left none to ask with."""
+def test_idle_connections_are_closed_while_too_many_are_idle() -> None:
+    """Clients share a third of the descriptors: 128 idle connections left none for active clients."""
     harness = ProxyHarness(sockets=384)
     harness.proxy.upkeep()
-    busy, kept = harness.client(), harness.client()
-    kept.feed(resp.encode_command([b"PING"]))
+    busy, oldest_idle = harness.client(), harness.client()
+    oldest_idle.feed(resp.encode_command([b"PING"]))
     busy.feed(encode_request(remaining_ms="2000"))
-    stay = [harness.client() for _ in range(120)]
-    for client in stay:
+    idle_clients = [harness.client() for _ in range(120)]
+    for client in idle_clients:
         client.feed(resp.encode_command([b"PING"]))
-    assert all(client.open for client in stay)
+    assert all(client.open for client in idle_clients)
     harness.loop.advance(0.5)
-    rest = 352 // IDLE_BUDGET_DIVISOR
-    assert [client.open for client in stay] == [False] * (120 - rest) + [True] * rest and busy.open
+    max_idle = 352 // IDLE_BUDGET_DIVISOR
+    assert [client.open for client in idle_clients] == [False] * (120 - max_idle) + [
+        True
+    ] * max_idle and busy.open
 
 
 @pytest.mark.parametrize(
     "data", [b"", b"*", b"*4\r\n$5\r\nC.GET\r\n", encode_request("save", value=bytes(9000))[:5000]]
 )
-def test_half_a_command_is_waited_for_two_to_three_seconds(data: bytes) -> None:
-    """Connections that said nothing, or never ended a command, were kept for good."""
+def test_incomplete_command_times_out_after_two_to_three_seconds(data: bytes) -> None:
+    """Connections without input, or with a command that was never completed, used to stay open forever."""
     harness = ProxyHarness()
     harness.proxy.upkeep()
-    client, usual = harness.client(), harness.client()
-    usual.feed(resp.encode_command([b"PING"]))
+    client, other = harness.client(), harness.client()
+    other.feed(resp.encode_command([b"PING"]))
     client.feed(data)
     harness.loop.advance(1.9)
     assert client.open and not client.sent
     harness.loop.advance(1.1)
-    assert not client.open and client.sent.startswith(b"-ERR" if data else b"") and usual.open
+    assert not client.open and client.sent.startswith(b"-ERR" if data else b"") and other.open
 
 
-def test_a_command_in_pieces_is_taken_as_long_as_each_ends_in_time() -> None:
+def test_commands_in_parts_are_processed_if_each_is_complete_in_time() -> None:
     harness = ProxyHarness()
     harness.proxy.upkeep()
     client, data = harness.client(), resp.encode_command([b"PING"])
@@ -488,27 +495,26 @@
 
 
 @pytest.mark.parametrize("data", [b"x", b"GET / HT", b"*1\r\n$60000000\r\n", b"*1\r\n$-3\r\n", b"\x00"])
-def test_what_is_no_command_is_refused_at_its_first_impossible_byte_and_not_read_on(data: bytes) -> None:
-    """60 MB were read for a second and thrown away, while all others waited."""
+def test_invalid_command_is_rejected_at_its_first_invalid_byte_and_not_read_further(data: bytes) -> None:
+    """60 MB used to be read and discarded for a second, while all other clients waited."""
     harness = ProxyHarness()
     client = harness.client()
     client.feed(data)
     assert client.sent.startswith(b"-ERR") and not client.paused
-    client.feed(
-        bytes(MAX_DISCARDED_BYTES + 1)
-    )  # what is on its way is read, lest a reset takes the answer with it
-    assert client.paused and not len(client.stream.input)  # and no more than that
+    # Input in flight is read and discarded, since a reset would discard the reply.
+    client.feed(bytes(MAX_DISCARDED_BYTES + 1))
+    assert client.paused and not len(client.stream.input)  # and no more than the maximum is discarded
     harness.loop.advance(0.5)
     assert not client.open
 
 
-def test_halves_of_large_commands_stay_within_the_memory_told() -> None:
-    """Hundreds of clients that stop in the middle of 64 KiB would have taken more than 32 MB."""
-    harness, half = ProxyHarness(), encode_request("save", value=bytes(60_000))[:40_000]
+def test_incomplete_large_commands_stay_within_the_memory_limit() -> None:
+    """Hundreds of clients that stall in the middle of 64 KiB would have used more than 32 MB."""
+    harness, partial_command = ProxyHarness(), encode_request("save", value=bytes(60_000))[:40_000]
     harness.proxy.clients.read_ahead_bytes = 2 << 20
     clients = [harness.client() for _ in range(200)]
     for client in clients:
-        client.feed(half)
+        client.feed(partial_command)
     assert sum(len(client.stream.input.memory) for client in clients) <= 3 << 20
     assert clients[0].sent.startswith(b"-ERR") and not clients[-1].sent
     for client in clients:
@@ -516,7 +522,7 @@
     assert harness.proxy.clients.partial_command_bytes == 0 and harness.proxy.clients.buffered_bytes == 0
 
 
-def test_wrong_commands_without_end_close_the_connection() -> None:
+def test_many_invalid_commands_close_the_connection() -> None:
     harness = ProxyHarness()
     client = harness.client()
     client.feed(resp.encode_command([b"HELLO"]) * 300)
@@ -527,8 +533,8 @@
     assert not client.open
 
 
-def test_the_id_of_an_rpc_in_hand_is_wrong_and_free_again_after_it() -> None:
-    """A bad client's RPC under another's id reached the caches."""
+def test_id_of_a_request_in_flight_is_rejected_and_free_again_after_it() -> None:
+    """A faulty client's request under the id of another one used to reach the caches."""
     harness = ProxyHarness().with_high_limits()
     client, other, data = harness.client(), harness.client(), encode_request()
     client.feed(data)
@@ -541,32 +547,34 @@
     assert not harness.proxy.open_ids and not harness.proxy.active_requests
 
 
-def test_the_door_takes_few_a_turn_and_waits_when_no_descriptor_is_left() -> None:
-    """At its last descriptor asyncio's server said so 512 times, then took nobody for a second."""
-    harness, taken, watched = ProxyHarness(), [], []
-    door = Listener.__new__(Listener)
-    door.loop, door.has_capacity, door.make_connection = harness.loop, lambda: True, lambda: None
-    door.has_pending_connection = lambda: True
-    door.socket = type("Plug", (), {"fileno": lambda self: 9, "accept": lambda self: (None, None)})()
-    harness.loop.add_reader = lambda fileno, call: watched.append(call)
-    harness.loop.remove_reader = lambda fileno: watched.clear()
-    door._start = lambda plug, stream: taken.append(stream)
-    door.resume_accepting()
-    watched[0]()
-    assert len(taken) == ACCEPTS_PER_ITERATION and watched
-
-    def full(_plug: object) -> None:
+def test_listener_accepts_few_connections_per_iteration_and_pauses_without_descriptors() -> None:
+    """At its last descriptor asyncio's server logged 512 errors and then accepted nothing for a second."""
+    harness, accepted, readers = ProxyHarness(), [], []
+    listener = Listener.__new__(Listener)
+    listener.loop, listener.has_capacity, listener.make_connection = harness.loop, lambda: True, lambda: None
+    listener.has_pending_connection = lambda: True
+    listener.socket = type(
+        "FakeSocket", (), {"fileno": lambda self: 9, "accept": lambda self: (None, None)}
+    )()
+    harness.loop.add_reader = lambda fileno, callback: readers.append(callback)
+    harness.loop.remove_reader = lambda fileno: readers.clear()
+    listener._start = lambda _socket, connection: accepted.append(connection)
+    listener.resume_accepting()
+    readers[0]()
+    assert len(accepted) == ACCEPTS_PER_ITERATION and readers
+
+    def fail_accept(_socket: object) -> None:
         raise OSError(errno.EMFILE, "too many")
 
-    type(door.socket).accept = full
-    watched[0]()
-    assert not watched and len(taken) == ACCEPTS_PER_ITERATION
+    type(listener.socket).accept = fail_accept
+    readers[0]()
+    assert not readers and len(accepted) == ACCEPTS_PER_ITERATION
     harness.loop.advance(0.1)
-    assert watched
+    assert readers
 
 
-def test_a_resting_connection_goes_for_one_that_is_needed() -> None:
-    """At the cap a healthy cache without a connection looked like one that could not be reached."""
+def test_idle_connection_is_closed_for_one_that_is_needed() -> None:
+    """At the maximum of connections a healthy cache without a connection seemed to be unreachable."""
     harness = ProxyHarness(caches=2)
     harness.proxy.upstreams.max_connections = 1
     keys = {harness.proxy.router.policy.placement.ranking(key)[0].name: key for key in range(20)}
@@ -577,8 +585,8 @@
     assert client.sent == b"$5\r\nfresh\r\n" * 2 and harness.proxy.upstreams.connection_count() == 1
 
 
-def test_nothing_leaves_for_an_rpc_whose_time_is_up() -> None:
-    """Its bytes lay behind a full socket, and would have gone to the cache after the final answer."""
+def test_nothing_is_sent_for_a_request_after_its_deadline() -> None:
+    """Its bytes were queued behind a full socket and would have been sent after the final answer."""
     harness = ProxyHarness(caches=1)
     harness.proxy.upstreams.max_connections_per_endpoint = 1
     client, other = harness.client(), harness.client()
@@ -589,7 +597,7 @@
     assert other.sent.startswith(b"-BUSY") and not upstream.open
 
 
-def test_a_fault_in_the_decisions_is_an_errored_rpc() -> None:
+def test_exception_in_a_decision_gives_an_errored_request() -> None:
     harness = ProxyHarness()
     client = harness.client()
     harness.proxy.router.policy.decide = lambda now, request: 1 // 0
@@ -597,8 +605,8 @@
     assert client.sent == b"-ERR errored\r\n" and client.open and not harness.proxy.active_requests
 
 
-def test_a_fault_in_the_decisions_after_a_wait_is_an_errored_rpc() -> None:
-    """Only first looks and outcomes were guarded: an RPC that had waited was left without an answer."""
+def test_exception_in_a_decision_after_a_wait_gives_an_errored_request() -> None:
+    """Only first decisions and outcomes were guarded: a request that had waited got no answer."""
     harness = ProxyHarness()
     client = harness.client()
     harness.proxy.router.policy.decide = lambda now, request: ("wait", 15.0)
@@ -609,19 +617,19 @@
     assert client.sent == b"-ERR errored\r\n" and client.open and not harness.proxy.active_requests
 
 
-def test_a_client_that_does_not_read_is_cut_in_the_end() -> None:
+def test_client_that_does_not_read_is_disconnected() -> None:
     harness = ProxyHarness()
     client = harness.client(pause_after_bytes=1000)
     client.feed(encode_request(key=1))
     harness.connect_upstream().feed(encode_reply(bytes(60_000)))
     for _ in range(30):
         client.feed(encode_request(key=1))
-    assert client.paused and len(harness.proxy.active_requests) == 0  # nothing more is begun for it
+    assert client.paused and len(harness.proxy.active_requests) == 0  # no further command is processed
     harness.loop.advance(3.0)
     assert not client.open
 
 
-def test_sigterm_lets_all_in_hand_finish() -> None:
+def test_requests_in_flight_finish_after_sigterm() -> None:
     harness = ProxyHarness()
     busy, idle = harness.client(), harness.client()
     busy.feed(encode_request(remaining_ms="2000"))
@@ -637,22 +645,22 @@
     assert harness.proxy.stopped.done()
 
 
-def test_sigterm_loses_nothing_that_a_client_sent_ahead() -> None:
-    """A connection closed after the answer it owed, with whole commands already read from it."""
+def test_pipelined_commands_are_answered_after_sigterm() -> None:
+    """A connection closed after the reply that was due, with complete commands already read from it."""
     harness = ProxyHarness().with_high_limits()
     client = harness.client()
     client.feed(b"".join(encode_request(key=1) for _ in range(18)))  # two more than are read ahead
     harness.sigterm()
     for number in range(20):
-        for opened in range(len(harness.loop.connect_requests)):
-            stream = harness.loop.connect_requests[opened][0]
-            upstream = stream.transport or harness.connect_upstream(opened)
-            upstream.feed(encode_reply(b"%d" % number) * len(stream.pending))
+        for index in range(len(harness.loop.connect_requests)):
+            connection = harness.loop.connect_requests[index][0]
+            upstream = connection.transport or harness.connect_upstream(index)
+            upstream.feed(encode_reply(b"%d" % number) * len(connection.pending))
         harness.loop.advance()
     assert client.sent.count(b"$") == 18 and client.eof_written
 
 
-def test_sigterm_answers_what_cannot_finish_before_the_kill() -> None:
+def test_request_that_cannot_finish_before_the_kill_is_answered_after_sigterm() -> None:
     harness = ProxyHarness(methods=[SETTINGS["methods"][0] | {"hardDeadlineNs": 9_000_000_000}])
     client = harness.client()
     client.feed(encode_request(remaining_ms="9000"))
@@ -663,7 +671,7 @@
 
 
 def test_events_within_a_few_ms_share_a_tick() -> None:
-    """Each event had a tick of its own: a tenth of a core at a thousand RPCs a second."""
+    """A tick for each event took a tenth of a core at a thousand requests a second."""
     harness, ticks = ProxyHarness().with_high_limits(), []
     client, tick = harness.client(), harness.proxy.router.tick
     harness.loop.advance(1.0)
@@ -674,52 +682,52 @@
     assert len(ticks) == 1
 
 
-def test_closed_transports_are_let_go() -> None:
-    """They are cycles, and collections of the youngest objects alone kept each until the process ended."""
-    harness, kept = ProxyHarness(), type("Transport", (), {})()
-    kept.itself, seen = kept, weakref.ref(kept)
+def test_closed_transports_are_freed() -> None:
+    """They are reference cycles, which collections of the youngest generation alone never freed."""
+    harness, cycle = ProxyHarness(), type("Transport", (), {})()
+    cycle.itself, reference = cycle, weakref.ref(cycle)
     gc.collect()
-    del kept
+    del cycle
     harness.proxy.upkeep()
     harness.loop.advance(1.0)
-    assert seen() is not None
+    assert reference() is not None
     harness.loop.advance(5.0)
-    assert seen() is None
+    assert reference() is None
 
 
-def test_sighup_moves_the_watch_and_keeps_all_else() -> None:
-    """The proxy ended on SIGHUP; and PROXY_DISCOVERY would have named the agent of the start for good."""
+def test_sighup_moves_the_watch_and_keeps_everything_else() -> None:
+    """SIGHUP used to end the proxy, and PROXY_DISCOVERY would have fixed the agent to that of the start."""
     harness = ProxyHarness()
     client = harness.client()
     client.feed(encode_request())
     upstream = harness.connect_upstream()
     harness.proxy.discovery.start()
-    old = harness.connect_upstream()
-    old.feed(CHUNKED_RESPONSE_HEAD + b"1\r\n\n\r\n")
+    old_watch = harness.connect_upstream()
+    old_watch.feed(CHUNKED_RESPONSE_HEAD + b"1\r\n\n\r\n")
     node = harness.proxy.node | {"discovery": "10.2.0.9:8500"}
     harness.proxy.on_sighup(lambda: 1 // 0)
-    assert old.open and len(harness.loop.connect_requests) == 2  # an unreadable file changes nothing
+    assert old_watch.open and len(harness.loop.connect_requests) == 2  # an unreadable file changes nothing
     harness.proxy.on_sighup(lambda: node)
     assert (
-        not old.open
+        not old_watch.open
         and harness.loop.connect_requests[-1][1] == ("10.2.0.9", 8500)
         and upstream.open
         and client.open
     )
-    new = harness.connect_upstream()
-    assert b"since=" not in new.sent  # versions are an agent's own
-    listed = json.dumps({"index": 1, "snapshot": True, "endpoints": [endpoint("c1")]}).encode() + b"\n"
-    new.feed(CHUNKED_RESPONSE_HEAD + b"%x\r\n%b\r\n" % (len(listed), listed))
+    new_watch = harness.connect_upstream()
+    assert b"since=" not in new_watch.sent  # the indexes of two agents are not comparable
+    list_message = json.dumps({"index": 1, "snapshot": True, "endpoints": [endpoint("c1")]}).encode() + b"\n"
+    new_watch.feed(CHUNKED_RESPONSE_HEAD + b"%x\r\n%b\r\n" % (len(list_message), list_message))
     assert sum(pool.accepts_requests for pool in harness.proxy.upstreams.pools.values()) == 1
     upstream.feed(encode_reply(b"kept"))
     assert client.sent == b"$4\r\nkept\r\n"
     harness.loop.advance(2.0)
     assert len(harness.loop.connect_requests) == 3  # one watch, not one for each that ended
     harness.proxy.on_sighup(lambda: node)
-    assert new.open and len(harness.loop.connect_requests) == 3  # the same agent is not asked anew
+    assert new_watch.open and len(harness.loop.connect_requests) == 3  # an unchanged address keeps its watch
 
 
-def test_a_configuration_read_again_goes_before_what_was_told_at_the_start(
+def test_reread_configuration_takes_precedence_over_the_environment_of_the_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "node.json"
@@ -740,15 +748,15 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_every_rpc_has_one_answer_on_generated_days(seed: int) -> None:
-    """Caches answer, turn away, break, say nothing, leave the list; clients leave; nothing is lost."""
+def test_every_request_has_one_answer_with_random_events(seed: int) -> None:
+    """Caches answer, reject, disconnect, stay silent or leave the list, clients leave: no request is lost."""
     random_generator, harness = Random(seed), ProxyHarness(caches=4)
-    clients, upstreams, asked = [harness.client() for _ in range(12)], [], 0
+    clients, upstreams, request_count = [harness.client() for _ in range(12)], [], 0
     for step in range(2500):
         while len(upstreams) < len(harness.loop.connect_requests):
-            stream = harness.loop.connect_requests[len(upstreams)][0]
-            if stream.closed or random_generator.random() < 0.05:
-                stream.abort()
+            connection = harness.loop.connect_requests[len(upstreams)][0]
+            if connection.closed or random_generator.random() < 0.05:
+                connection.abort()
                 upstreams.append(None)
             else:
                 upstreams.append(harness.connect_upstream(len(upstreams)))
@@ -757,17 +765,17 @@
             for upstream in upstreams[-40:]
             if upstream is not None and upstream.open and upstream.stream.pending
         ]:
-            what = random_generator.random()
-            if what < 0.3:
+            draw = random_generator.random()
+            if draw < 0.3:
                 upstream.feed(
                     encode_reply(
                         b"x" * random_generator.randrange(2000),
                         random_generator.choice([b"hit", b"miss", None]),
                     )
                 )
-            elif what < 0.36:
+            elif draw < 0.36:
                 upstream.feed(random_generator.choice([b"-BUSY\r\n", b"-ERR failed\r\n", b"?\r\n"]))
-            elif what < 0.38:
+            elif draw < 0.38:
                 upstream.abort()
         client = random_generator.choice(clients)
         if client.open and not client.stream.replies:
@@ -779,7 +787,7 @@
                     str(random_generator.randrange(50, 900)),
                 )
             )
-            asked += 1
+            request_count += 1
         elif random_generator.random() < 0.02:
             clients[clients.index(client)] = harness.client()
             client.abort()
@@ -791,35 +799,40 @@
                 )
             )
         harness.loop.advance(0.01)
-        late = [
-            call
-            for call in harness.proxy.active_requests.values()
-            if harness.proxy.now_ms() > call.request.expires_at + 1.0
+        overdue = [
+            active_request
+            for active_request in harness.proxy.active_requests.values()
+            if harness.proxy.now_ms() > active_request.request.expires_at + 1.0
         ]
-        assert not late
+        assert not overdue
     harness.loop.advance(2.1)
-    assert asked > 500 and not harness.proxy.active_requests and not harness.proxy.router.active_requests
+    assert (
+        request_count > 500 and not harness.proxy.active_requests and not harness.proxy.router.active_requests
+    )
     assert all(not client.stream.replies for client in clients)
-    assert sum(harness.proxy.metrics.totals().values()) <= asked
-
-
-def test_same_inputs_give_the_simulators_decisions() -> None:
-    """The adapter and the proxy's facade, given the same settings, seed, list and keys, send alike."""
-    random_generator, out, said = Random(5), [], []
-    wired = host.Proxy(0, parse_seed("8c1f30d27a5be964"), SETTINGS, 0.0, out)
-    wired.on_endpoint_list(0.0, 2, 1, [[f"c{i}", "a", "box", 0, 2, 1.0 + i % 2, 0] for i in range(6)])
-    plain = Router(normalize_settings(json.loads(json.dumps(SETTINGS))), parse_seed("8c1f30d27a5be964"), 0.0)
-    listed = {"snapshot": True, "endpoints": [endpoint(f"c{i}") | {"weight": 1.0 + i % 2} for i in range(6)]}
-    plain.on_endpoint_list(0.0, "cached", 1, parse_endpoint_list(listed)[2])
+    assert sum(harness.proxy.metrics.totals().values()) <= request_count
+
+
+def test_router_and_simulator_adapter_decide_alike_on_the_same_inputs() -> None:
+    """The simulator adapter and the router decide alike, given the same settings, seed, list and keys."""
+    random_generator, adapter_output, router_decisions = Random(5), [], []
+    adapter = host.Proxy(0, parse_seed("8c1f30d27a5be964"), SETTINGS, 0.0, adapter_output)
+    adapter.on_endpoint_list(0.0, 2, 1, [[f"c{i}", "a", "box", 0, 2, 1.0 + i % 2, 0] for i in range(6)])
+    router = Router(normalize_settings(json.loads(json.dumps(SETTINGS))), parse_seed("8c1f30d27a5be964"), 0.0)
+    endpoint_list = {
+        "snapshot": True,
+        "endpoints": [endpoint(f"c{i}") | {"weight": 1.0 + i % 2} for i in range(6)],
+    }
+    router.on_endpoint_list(0.0, "cached", 1, parse_endpoint_list(endpoint_list)[2])
 
-    def act(request: Request, cache: str | None) -> None:
+    def record_decision(request: Request, cache: str | None) -> None:
         if cache is not None:
-            said.append(["PassOn", request.id, cache])
-            going.append((now + random_generator.uniform(5.0, 400.0), request))
+            router_decisions.append(["PassOn", request.id, cache])
+            in_flight.append((now + random_generator.uniform(5.0, 400.0), request))
         elif request.answer in ("exhausted", "errored"):
-            said.append(["NotNow" if request.answer == "exhausted" else "Surrender", request.id])
+            router_decisions.append(["NotNow" if request.answer == "exhausted" else "Surrender", request.id])
 
-    going: list[tuple] = []
+    in_flight: list[tuple] = []
     for number in range(2000):
         now, key, method = (
             number * 5.0,
@@ -828,34 +841,47 @@
         )
         pairs = f"c={method},t=acme,d=700,k=5c0f".encode()
         fields = parse_request_fields(
-            [b"C.GET", b"%x" % key, b"1", pairs], plain.policy.settings.methods, {"acme"}
+            [b"C.GET", b"%x" % key, b"1", pairs], router.policy.settings.methods, {"acme"}
         )
         write, until = method == "save", now + fields["patience"]
         request = Request(f"{number:016x}", method, "acme", fields["key"], write, now, until)
-        act(request, plain.route(now, request))
-        wired.on_request(now, request.id, method, round(until * 1e6), 4 * write, "acme", None, None, key)
-        for due in [due for due in going if due[0] <= now]:
-            going.remove(due)
-            rc, outcome = random_generator.choice([(0, "completed")] * 9 + [(13, "error"), (8, "full")])
+        record_decision(request, router.route(now, request))
+        adapter.on_request(now, request.id, method, round(until * 1e6), 4 * write, "acme", None, None, key)
+        for due in [due for due in in_flight if due[0] <= now]:
+            in_flight.remove(due)
+            status, outcome = random_generator.choice([(0, "completed")] * 9 + [(13, "error"), (8, "full")])
             attempt = len(due[1].attempts) - 1
-            wired.on_attempt_ended(
-                now, due[1].id, attempt, due[1].attempts[-1].endpoint, rc, 40_000_000, rc == 0, 1, None
+            adapter.on_attempt_ended(
+                now,
+                due[1].id,
+                attempt,
+                due[1].attempts[-1].endpoint,
+                status,
+                40_000_000,
+                status == 0,
+                1,
+                None,
             )
-            act(due[1], plain.report_attempt(now, due[1], attempt, outcome, 40.0, "hit"))
-        while (woken := plain.next_due_request(now)) is not None:
-            act(woken, plain.route(now, woken))
-        wired.on_timer(now, 0)
-        plain.tick(now)
-        wired.end_batch(now)
-    told = [
-        [line[0], *line[2:4]] for line in map(json.loads, out) if line[0] in ("PassOn", "NotNow", "Surrender")
+            record_decision(due[1], router.report_attempt(now, due[1], attempt, outcome, 40.0, "hit"))
+        while (due_request := router.next_due_request(now)) is not None:
+            record_decision(due_request, router.route(now, due_request))
+        adapter.on_timer(now, 0)
+        router.tick(now)
+        adapter.end_batch(now)
+    adapter_decisions = [
+        [message[0], *message[2:4]]
+        for message in map(json.loads, adapter_output)
+        if message[0] in ("PassOn", "NotNow", "Surrender")
     ]
-    assert [line[: len(want)] for line, want in zip(told, said, strict=True)] == said
-    assert len(said) > 2000 and len({line[0] for line in said}) == 2
+    assert [
+        message[: len(expected)]
+        for message, expected in zip(adapter_decisions, router_decisions, strict=True)
+    ] == router_decisions
+    assert len(router_decisions) > 2000 and len({message[0] for message in router_decisions}) == 2
 
 
 @pytest.mark.parametrize(
-    "change,said",
+    "change,expected_message",
     [
         ({"listen": "nowhere"}, "no address"),
         ({"settings": {}}, "settings is missing"),
@@ -870,7 +896,9 @@
         (None, "PROXY_CONFIG is missing"),
     ],
 )
-def test_a_wrong_configuration_is_one_line(tmp_path: Path, change: dict | None, said: str) -> None:
+def test_invalid_configuration_gives_one_line(
+    tmp_path: Path, change: dict | None, expected_message: str
+) -> None:
     node = {
         "name": "n0",
         "listen": "127.0.0.1:1",
@@ -880,16 +908,20 @@
     }
     path = tmp_path / "node.json"
     path.write_text(json.dumps(node | (change or {})))
-    told = {name: value for name, value in os.environ.items() if not name.startswith("PROXY_")}
-    told |= {"PROXY_CONFIG": str(path)} if change else {}
-    ended = subprocess.run(
-        [sys.executable, "-m", "calicofall", "serve"], env=told, capture_output=True, text=True, timeout=30
+    environment = {name: value for name, value in os.environ.items() if not name.startswith("PROXY_")}
+    environment |= {"PROXY_CONFIG": str(path)} if change else {}
+    result = subprocess.run(
+        [sys.executable, "-m", "calicofall", "serve"],
+        env=environment,
+        capture_output=True,
+        text=True,
+        timeout=30,
     )
-    assert ended.returncode != 0 and said in ended.stderr and ended.stderr.count("\n") == 1
+    assert result.returncode != 0 and expected_message in result.stderr and result.stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize(
-    "change,said",
+    "change,expected_message",
     [
         ({"me": 2}, "settings.me is 2: a whole number from 0 to 1"),
         ({"me": "0"}, "settings.me is '0'"),
@@ -902,7 +934,7 @@
         ({"stats": {"fields": "pending"}}, "settings.stats.fields is 'pending': a list"),
     ],
 )
-def test_a_wrong_place_in_the_fleet_is_one_line(tmp_path: Path, change: dict, said: str) -> None:
+def test_invalid_fleet_settings_give_one_line(tmp_path: Path, change: dict, expected_message: str) -> None:
     path = tmp_path / "node.json"
     path.write_text(
         json.dumps(
@@ -915,12 +947,12 @@
             }
         )
     )
-    with pytest.raises(ClickException) as fault:
+    with pytest.raises(ClickException) as error_info:
         configuration(str(path))
-    assert said in fault.value.message and "\n" not in fault.value.message
+    assert expected_message in error_info.value.message and "\n" not in error_info.value.message
 
 
-def test_messages_between_proxies_are_not_carried_on_sockets(tmp_path: Path) -> None:
+def test_messages_between_proxies_are_not_supported_on_sockets(tmp_path: Path) -> None:
     caps = SETTINGS["caps"] | {"peerMessages": True}
     harness = ProxyHarness(caps=caps)
     assert harness.proxy.router.policy.gossip.peer_count == 0
@@ -936,18 +968,18 @@
             }
         )
     )
-    ended = CliRunner().invoke(main, ["check", "--config", str(path)])
-    assert ended.exit_code == 0 and "settings.caps.peerMessages is not carried on sockets" in ended.output
+    result = CliRunner().invoke(main, ["check", "--config", str(path)])
+    assert result.exit_code == 0 and "settings.caps.peerMessages is not carried on sockets" in result.output
 
 
-def test_a_place_in_the_fleet_that_is_wrong_on_reload_changes_nothing() -> None:
+def test_invalid_fleet_settings_on_reload_change_nothing() -> None:
     harness = ProxyHarness()
-    moved = []
-    harness.proxy.discovery.change_address = moved.append
+    new_addresses = []
+    harness.proxy.discovery.change_address = new_addresses.append
 
     def reread() -> dict:
         validate_settings(SETTINGS | {"me": 9})
         return harness.proxy.node
 
     harness.proxy.on_sighup(reread)
-    assert not moved
+    assert not new_addresses
