--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,8 +1,9 @@
 """Ends of connections, requests, watches and processes, and the replies that are due then.
 
 The tests run on real sockets where the kernel's order of events matters, and on fake transports and a fake
-clock elsewhere. Each test first asserts that the race that it tests has occurred. Waiting is always for a
-condition, never for a fixed time in the hope that the condition holds by then.
+clock elsewhere. Each test first asserts that the race that it tests has occurred. Tests wait for conditions,
+never for a fixed time in the hope that a condition holds by then. The event loop runs for a fixed time only
+to show that nothing else happens, or that a timeout has passed.
 """
 
 import asyncio
