--- a/calicofall/proxy/client_protocol.py
+++ b/calicofall/proxy/client_protocol.py
@@ -8,8 +8,8 @@
 from math import ceil, isfinite
 from typing import Any
 
-# Notes of an endpoint on how it got a value, and the router's names for them.
-ANSWER_NOTES = {b"hit": "hit", b"miss": "fetched", b"pending": "fetching"}
+# The cache statuses in replies, which say how an endpoint got a value, and the names that the router uses.
+CACHE_STATUSES = {b"hit": "hit", b"miss": "fetched", b"pending": "fetching"}
 
 # The commands that are requests, and the number of their parts including the command's name.
 ARGUMENT_COUNTS = {b"C.GET": 4, b"C.SET": 5}
--- a/calicofall/proxy/reply_parser.py
+++ b/calicofall/proxy/reply_parser.py
@@ -1,8 +1,8 @@
 """Parser of endpoints' replies, which reads from a ring buffer.
 
-A reply is an error, or an array of a value, a note on how the endpoint got the value (or null) and a load
-report (or null). A value longer than STREAMING_THRESHOLD_BYTES is returned as it arrives, except its last
-WITHHELD_TAIL_BYTES bytes, which are returned as the reply's value once the rest of the reply is valid.
+A reply is an error, or an array of a value, a cache status (how the endpoint got the value, or null) and a
+load report (or null). A value longer than STREAMING_THRESHOLD_BYTES is returned as it arrives, except its
+last WITHHELD_TAIL_BYTES bytes, which are returned as the reply's value once the rest of the reply is valid.
 
 Invariants: those of `command_parser.py`.
 """
@@ -29,10 +29,11 @@
 REPLY_HEAD = re.compile(rb"\*(3(\r\n?)?)?|-([A-Z][ -~]{0,200}(\r\n?)?)?")
 BULK_HEAD = re.compile(rb"\$(-(1(\r\n?)?)?|[0-9]{1,7}(\r\n?)?)?")
 SHORT_REPLY_HEAD = re.compile(rb"\*3\r\n\$([0-9]{1,5})\r\n")
-NOTES = (b"", b"hit", b"miss", b"pending")
-# The bytes after the value of a reply without a load report, and the note that they contain.
+CACHE_STATUSES = (b"", b"hit", b"miss", b"pending")
+# The bytes after the value of a reply without a load report, and the cache status that they contain.
 SHORT_REPLY_TAILS = {
-    b"\r\n" + (b"$%d\r\n%b" % (len(note), note) if note else b"$-1") + b"\r\n$-1\r\n": note for note in NOTES
+    b"\r\n" + (b"$%d\r\n%b" % (len(status), status) if status else b"$-1") + b"\r\n$-1\r\n": status
+    for status in CACHE_STATUSES
 }
 
 
@@ -100,11 +101,11 @@
         if head is None:
             return None
         value_end = head.end() + int(head[1])
-        note = SHORT_REPLY_TAILS.get(data[value_end:])
-        if note is None:
+        cache_status = SHORT_REPLY_TAILS.get(data[value_end:])
+        if cache_status is None:
             return None
         self.ring.drop(len(data))
-        return [data[head.end() : value_end], note or None, None]
+        return [data[head.end() : value_end], cache_status or None, None]
 
     def _read_head(self) -> ErrorReply | Incomplete | None:
         """Reads the first line of a reply; returns None if it is the head of an array."""
--- a/calicofall/proxy/upstream.py
+++ b/calicofall/proxy/upstream.py
@@ -43,7 +43,7 @@
         find_sink: Called with a command, the size of its long answer and a function that requests more of the
             answer; returns the sink that the answer is forwarded to as it arrives, or None.
         on_streaming: Called when the first bytes of a long answer are about to be forwarded.
-        on_outcome: Called once for each command, with outcome, answer, note and load report.
+        on_outcome: Called once for each command, with outcome, answer, cache status and load report.
         metrics: Counts the commands that have been sent.
         connection_quotas: This proxy's share of the endpoints' limits for handshakes and connections.
         common_clock_offset_s: Offset of the clock that all proxies share from the loop's clock (s).
@@ -246,8 +246,8 @@
         command: UpstreamCommand,
         outcome: str,
         answer: bytes = b"",
-        note: str | None = None,
-        load: dict[str, float] | None = None,
+        cache_status: str | None = None,
+        load_report: dict[str, float] | None = None,
     ) -> None:
         """Reports a command's outcome once, and ends its count as in flight when its reply is not pending."""
         connection = command.connection
@@ -263,7 +263,7 @@
         command.timer.cancel()
         if command.sink is not None and connection is not None and not connection.closed:
             self.loop.call_soon(connection.resume_streaming)  # the rest of the answer is read and discarded
-        self.on_outcome(command, outcome, answer, note, load)
+        self.on_outcome(command, outcome, answer, cache_status, load_report)
 
     def close_expired_idle(self) -> None:
         """Closes idle connections before the endpoints do.
--- a/calicofall/proxy/upstream_connection.py
+++ b/calicofall/proxy/upstream_connection.py
@@ -11,7 +11,7 @@
 
 from calicofall.invariants import check_invariant
 from calicofall.proxy import resp
-from calicofall.proxy.client_protocol import ANSWER_NOTES, parse_load_report
+from calicofall.proxy.client_protocol import CACHE_STATUSES, parse_load_report
 from calicofall.proxy.connection import BufferedConnection
 from calicofall.proxy.reply_parser import ReplyParser
 
@@ -233,8 +233,8 @@
 
 
 def parse_reply(value: Any) -> tuple[str, bytes, str | None, dict[str, float] | None]:
-    """Returns the outcome, answer, note and load report of an endpoint's reply."""
+    """Returns the outcome, answer, cache status and load report of an endpoint's reply."""
     if isinstance(value, resp.ErrorReply):
         outcome = "full" if value.split(b" ")[0] == b"BUSY" else "error"
         return outcome, b"", None, None
-    return "completed", value[0], ANSWER_NOTES.get(value[1]), parse_load_report(value[2])
+    return "completed", value[0], CACHE_STATUSES.get(value[1]), parse_load_report(value[2])
