--- a/calicofall/proxy/clients.py
+++ b/calicofall/proxy/clients.py
@@ -80,7 +80,7 @@
         least_useful.abort()
         return True
 
-    def reduce_max_connections(self, max_connections: int) -> None:
+    def set_max_connections(self, max_connections: int) -> None:
         """Sets the budget and closes connections over it: first closing ones, then idle ones."""
         self.max_connections = max(1, max_connections)
         while (self.closing or self.idle) and self._total() > self.max_connections:
--- a/calicofall/proxy/server.py
+++ b/calicofall/proxy/server.py
@@ -692,7 +692,7 @@
             )
             sockets, of_caches, self.clients.read_ahead_bytes = self.connection_budget(parts)
             self.upstreams.set_max_connections(of_caches)
-            self.clients.reduce_max_connections(sockets)
+            self.clients.set_max_connections(sockets)
             self.router.set_process_count(parts)
 
     def upkeep(self) -> None:
