--- a/calicofall/fleet/__init__.py
+++ b/calicofall/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""What the proxies of a fleet agree on: versions of the settings, membership, what is known of each other.
+"""State that the proxies of a fleet agree on or exchange: settings versions, membership, quotas and evidence.
 
-Modules of this package do no I/O. They are handed events and times, and return messages, values and the time
-at which they want to be called again; sockets, clocks, files and logs belong to `calicofall.proxy`.
+The modules of this package perform no I/O. They are given events and times, and return messages, values and
+the time of their next call. Sockets, clocks, files and logs belong to `calicofall.proxy`.
 """
--- a/calicofall/fleet/canary.py
+++ b/calicofall/fleet/canary.py
@@ -1,30 +1,32 @@
-"""A canary: a version tried at a part of the fleet before it is published, and what it does to requests here.
-
-A proxy that tries a version acts as the version in effect and the tried one allow together, so it contradicts
-nobody. Of what binds, only what the tried version forbids is tried, not what it allows beyond. The module
-does no I/O: it is handed the time (s) and the counts of requests that have ended since the process began.
-
-States, and what moves between them:
-    trying: from the start. Left for
-        failing as soon as, for some method, the part of requests that were not completed exceeds the part
-            before the canary by more than is tolerated, both at the bounds of their confidence intervals;
-        well at the end of its duration, with `MIN_REQUESTS` seen;
-        unmeasured at the end with fewer, in all or of a method that had as many before; or when it is cut
-            short: the lease was lost, another version was heard, another canary was started.
-    failing, well, unmeasured: final; the proxy acts as before. Without `MIN_REQUESTS` of the worst method
-        before the canary there is nothing to compare it with: unmeasured.
+"""Canary: a settings version that some proxies try, with a measurement of failures, before it is published.
+
+While a canary runs, the proxy acts on what the version in effect and the tried version both allow, so it
+contradicts no other proxy. Of the binding fields, a canary therefore tests only what the tried version
+forbids, not what it newly allows. The module performs no I/O: it is given the time in seconds and the counts
+of requests that have ended since the process started.
+
+States and transitions:
+    trying: the initial state. It changes to
+        failing as soon as the failure fraction of some method has grown by more than the tolerated increase,
+            measured from the upper confidence bound of the baseline to the lower bound during the canary;
+        well at the end of its duration, if there were at least `MIN_REQUESTS` requests;
+        unmeasured at the end of its duration, if there were fewer requests, in total or for a method that had
+            at least `MIN_REQUESTS` in the baseline, or if the method with the largest increase had fewer in
+            the baseline, so that there is nothing to compare with; or when the canary is aborted because the
+            lease was lost, another version arrived or another canary was started.
+    failing, well, unmeasured: final. The proxy acts on the version in effect again.
 
 Invariants:
-    - A canary does not outlast its duration, but for the time between two calls.
-    - None is called well that has had too few requests.
-    - A canary takes no part in agreement: what is tried is no version yet.
-    - What ended during a canary does not count as "before" for a later one.
+    - A canary runs no longer than its duration, plus the time between two calls of `observe`.
+    - A canary with too few requests never ends as well.
+    - A canary has no influence on configuration agreement: the tried document is not a version yet.
+    - Requests that ended during a canary are not part of the baseline of a later one.
 
 A version that fails all requests of a method does so at a proxy until `MIN_REQUESTS` of them have ended, and
-for `LOOK` more. What fails for another reason meanwhile halts a version that is sound; it can be published
-again.
+for up to `OBSERVATION_INTERVAL_S` more. Failures with another cause during that time halt a sound version; it
+can be published again.
 
-Source: score interval of a proportion (Wilson 1927).
+Reference: score interval of a proportion (Wilson 1927).
 """
 
 from collections import deque
@@ -34,17 +36,17 @@
 from math import sqrt
 from typing import NamedTuple
 
-MIN_REQUESTS = 20  # from which a part of requests is a measure
-OBSERVATION_INTERVAL_S = 0.75  # s between two calls of `look` at most
-BASELINE_S = 60.0  # requests that ended so long before the canary are what it is compared with
-CONFIDENCE_Z = 2.58  # standard deviations: 99%
+MIN_REQUESTS = 20  # fewest requests from which a failure fraction is computed
+OBSERVATION_INTERVAL_S = 0.75  # longest time between two calls of `observe`
+BASELINE_S = 60.0  # length of the period before the canary whose requests are the baseline
+CONFIDENCE_Z = 2.58  # standard deviations of a 99% confidence interval
 
-RequestCounts = dict[str, tuple[int, int]]  # by method: requests that ended, and of them not completed
+RequestCounts = dict[str, tuple[int, int]]  # by method: requests that ended, and those of them that failed
 NO_REQUESTS = (0, 0)
 
 
 class CanaryState(StrEnum):
-    """State of a canary, as operators read it."""
+    """The state of a canary; the values appear in metrics, logs and the output of the command line."""
 
     TRYING = "trying"
     WELL = "well"
@@ -53,16 +55,16 @@
 
 
 class CanaryReport(NamedTuple):
-    """What is said of a canary; parts are of the method that did worst.
+    """The state and measurements of a canary; a request counts as failed if it was not completed.
 
     Attributes:
-        version: the version that is tried.
-        word: its state.
-        why: why it is unmeasured; else empty.
-        method: the method that did worst; empty while there is none with enough requests.
-        part: part of its requests that were not completed.
-        before: the same part before the canary.
-        of: how many of its requests have ended during the canary.
+        version: the settings version that is tried.
+        state: the state of the canary.
+        reason: why the canary is unmeasured; empty in any other state.
+        method: the method with the largest increase of failures; empty while none has enough requests.
+        failed_fraction: fraction of that method's requests that failed during the canary.
+        baseline_failed_fraction: fraction of that method's requests that failed in the baseline.
+        request_count: number of that method's requests that have ended during the canary.
     """
 
     version: int
@@ -76,30 +78,35 @@
 
 @dataclass(frozen=True, slots=True)
 class WorstMethod:
-    """The method whose part not completed grew most, at the bounds of the intervals, and by how much.
+    """The method whose failure fraction has grown most.
 
     Attributes:
-        name: of the method; empty if none has enough requests.
-        increase: lower bound of the part during the canary, less the upper bound before it.
+        name: name of the method; empty if no method has enough requests.
+        increase: lower confidence bound of the failure fraction during the canary, minus the upper confidence
+            bound in the baseline.
     """
 
     name: str
     increase: float
 
 
-def wilson_interval(failed: int, of: int) -> tuple[float, float]:
-    """Wilson's interval of a proportion, at 99%: from 0 to 1 where nothing was counted."""
-    if not of:
+def wilson_interval(failed: int, total: int) -> tuple[float, float]:
+    """Returns the 99% Wilson score interval of a failure fraction; (0, 1) if there were no requests."""
+    if not total:
         return 0.0, 1.0
-    part = failed / of
-    square = CONFIDENCE_Z * CONFIDENCE_Z / of
-    middle = (part + square / 2.0) / (1.0 + square)
-    width = CONFIDENCE_Z * sqrt(part * (1.0 - part) / of + square / of / 4.0) / (1.0 + square)
-    return middle - width, middle + width
+    fraction = failed / total
+    scaled_z_squared = CONFIDENCE_Z * CONFIDENCE_Z / total
+    center = (fraction + scaled_z_squared / 2.0) / (1.0 + scaled_z_squared)
+    half_width = (
+        CONFIDENCE_Z
+        * sqrt(fraction * (1.0 - fraction) / total + scaled_z_squared / total / 4.0)
+        / (1.0 + scaled_z_squared)
+    )
+    return center - half_width, center + half_width
 
 
 def _ended_between(earlier: RequestCounts, later: RequestCounts) -> RequestCounts:
-    """What ended between two counts."""
+    """Returns the requests that ended between two counts."""
     difference = {}
     for method, (ended, failed) in later.items():
         ended_before, failed_before = earlier.get(method, NO_REQUESTS)
@@ -108,7 +115,7 @@
 
 
 def _sum_counts(counts: RequestCounts, added: Mapping[str, tuple[int, int]]) -> RequestCounts:
-    """Counts with others added, of the methods that they have."""
+    """Returns `counts` with `added` added to the methods that `counts` has."""
     total = {}
     for method, (ended, failed) in counts.items():
         ended_more, failed_more = added.get(method, NO_REQUESTS)
@@ -117,12 +124,12 @@
 
 
 class Canary:
-    """The canaries of one proxy, one after the other.
+    """The canaries of one proxy, of which at most one runs at a time.
 
     Attributes:
-        told: what is said of the last one; None before the first.
-        seen: times (s) and counts of the last `BASELINE_S`.
-        before: what had ended before the canary, within `BASELINE_S`.
+        count_history: observations of the last `BASELINE_S`: time (s) and counts since the process started.
+        report: report on the latest canary; None before the first.
+        baseline: requests that ended within `BASELINE_S` before the canary started.
     """
 
     def __init__(self) -> None:
@@ -136,38 +143,38 @@
 
     @property
     def is_trying(self) -> bool:
-        """Whether a version is tried now."""
+        """Whether a canary is running."""
         return self.report is not None and self.report.state == CanaryState.TRYING
 
     def begin(
-        self, now: float, version: int, duration: float, increase: float, counts: RequestCounts
+        self, now: float, version: int, duration_s: float, max_increase: float, counts: RequestCounts
     ) -> None:
         """Starts a canary.
 
         Args:
             now: the time (s).
-            version: the version that is tried.
-            duration: for how long (s).
-            increase: by how much the part of requests that are not completed may grow.
-            counts: what has ended since the process began.
+            version: the settings version that is tried.
+            duration_s: how long the canary runs.
+            max_increase: the tolerated increase of a method's failure fraction.
+            counts: requests that have ended since the process started.
         """
         self.observe(now, counts)
         self._counts_at_start = counts
         self._started_at = now
-        self._ends_at = now + duration
-        self._tolerated_increase = increase
+        self._ends_at = now + duration_s
+        self._tolerated_increase = max_increase
         self.baseline = _ended_between(self.count_history[0][1], counts)
         self.report = CanaryReport(version, CanaryState.TRYING, "", "", 0.0, 0.0, 0)
 
     def abort(self, reason: str) -> bool:
-        """Ends the canary without a measure; False if there is none."""
+        """Ends a running canary as unmeasured; returns False if none is running."""
         if self.report is None or not self.is_trying:
             return False
         self._end(self.report._replace(state=CanaryState.UNMEASURED, reason=reason))
         return True
 
     def observe(self, now: float, counts: RequestCounts) -> bool:
-        """Takes what has ended since the process began; whether the canary is over by it."""
+        """Records the requests that have ended since the process started; returns whether a canary ended."""
         self.count_history.append((now, counts))
         while self.count_history[0][0] < now - BASELINE_S:
             self.count_history.popleft()
@@ -181,7 +188,7 @@
         return True
 
     def _measure(self, now: float, version: int, during: RequestCounts) -> CanaryReport:
-        """What is said of the canary by what has ended during it."""
+        """Returns the report on the canary, given the requests that ended during it."""
         worst = self._worst_method(during)
         state = CanaryState.TRYING
         reason = ""
@@ -212,7 +219,7 @@
         return worst
 
     def _reason_unmeasured(self, during: RequestCounts, worst: WorstMethod) -> str:
-        """Why there were too few requests; empty if there were enough."""
+        """Returns why there were too few requests for a measurement; empty if there were enough."""
         for method, (ended_before, _) in self.baseline.items():
             if ended_before >= MIN_REQUESTS and during.get(method, NO_REQUESTS)[0] < MIN_REQUESTS:
                 return f"under {MIN_REQUESTS} RPCs of {method}"
@@ -223,10 +230,10 @@
         return ""
 
     def _end(self, report: CanaryReport) -> None:
-        """Ends the canary, and removes what ended during it from the counts before.
+        """Ends the canary, and removes the requests that ended during it from the baseline of the next one.
 
-        Without this, a sound version that follows a failing one would be compared with the failures of the
-        other, and pass however bad it was.
+        Without this, a version that is tried after a failing one would be compared with the failures of that
+        canary, and would pass however bad it was.
         """
         self.report = report
         last = self.count_history[-1]
--- a/calicofall/fleet/list_freshness.py
+++ b/calicofall/fleet/list_freshness.py
@@ -1,56 +1,56 @@
-"""How fresh a proxy's endpoint list is, compared with those that its peers act on.
+"""Freshness of a proxy's endpoint list, compared with the lists of its peers.
 
-In each round a proxy tells a few peers, drawn anew, the version, digest and age of its list, and hears
-theirs. One that has known of a higher version with another digest for a while polls the discovery service
-again; it waits for that while because its own watch may be about to bring the list. It polls at once where
-all peers heard of are ahead, and in its turn where others are behind, too (startup/discovery_schedule.py).
-So what the service told one proxy is a reason to poll for half of N proxies after about
-`GAP * log2(N) / log2(1 + 2 * PEERS_PER_ROUND) + POLL_DELAY_S`; where links are cut, nothing bounds it.
-Peers whose digest has differed for `DIFFERENCE_REPORTED_AFTER_S` are reported.
+In each round a proxy sends the version, digest and age of its list to a few peers that are drawn at random,
+and receives theirs. A proxy that has known for POLL_DELAY_S that a peer has a higher version with another
+digest polls the discovery service again; the delay leaves time for its own watch to deliver that list. It
+polls at once if all peers with recent messages are ahead, and at its scheduled time if others are behind, too
+(startup/discovery_schedule.py). So a list that the service has sent to one proxy causes half of N proxies to
+poll after about `ROUND_INTERVAL_S * log2(N) / log2(1 + 2 * PEERS_PER_ROUND) + POLL_DELAY_S`; while links are
+cut, there is no bound. Peers whose digest has differed for `DIFFERENCE_REPORTED_AFTER_S` are reported.
 
-The module does no I/O: it is handed lists, messages and the time (s), and returns messages and values.
+The module performs no I/O: it is given lists, messages and the time (s), and returns messages and values.
 
-States of a proxy, and what moves between them:
-    up to date: no later list is known of. Left by a peer's message for
-    behind: a later list is known of; the service is to be polled, no more often than every `REPOLL_AFTER_S`.
-        Left when the service has sent a list.
+States of a proxy and transitions:
+    up to date: no later list is known. A peer's message changes the state to
+    behind: a later list is known, and the service has to be polled, at most once per `REPOLL_AFTER_S`. The
+        state ends when the service has sent a list or has reported that it is unchanged.
 
 Invariants:
-    - A peer's message is a reason to poll the service again, and nothing else: a removal, a draining endpoint
-      or a new one is acted on when the service has sent it.
+    - A peer's message can cause a poll of the service, and nothing else: the removal, the draining or the
+      addition of an endpoint takes effect when the service has sent it.
 """
 
 from hashlib import blake2b
 from random import Random
 from typing import NamedTuple
 
-ROUND_INTERVAL_S = 0.5  # s between two rounds
+ROUND_INTERVAL_S = 0.5
 PEERS_PER_ROUND = 2
-POLL_DELAY_S = 0.3  # for which a later list is known of before the service is polled
-REPOLL_AFTER_S = 2.0  # between two polls that peers' messages cause
-DIFFERENCE_REPORTED_AFTER_S = 3.0  # for which a peer's digest has differed
-PEER_FORGOTTEN_AFTER_S = 10.0  # without a message of a peer
+POLL_DELAY_S = 0.3  # time between learning of a later list and the poll that it causes
+REPOLL_AFTER_S = 2.0  # shortest time between two polls that peers' messages cause
+DIFFERENCE_REPORTED_AFTER_S = 3.0  # how long a peer's digest has to differ
+PEER_FORGOTTEN_AFTER_S = 10.0  # time without a message of the peer
 REQUEST_ID_BITS = 40
 MAX_AGE_MS = 1 << 40
 DIGEST_BYTES = 6
 
 
 class ListDigestMessage(NamedTuple):
-    """A list as a proxy tells of it; sent as a row of these fields, in this order.
+    """The version, digest and age of a proxy's list; sent as an array of these fields, in this order.
 
     Attributes:
-        asks: whether it is a request for the receiver's list, or the response.
-        sender: number of the proxy that sends it.
-        life: the sender's incarnation.
-        mark: identifier of the request.
-        index: version of the list, as the service counts; 0 where it does not.
-        digest: of the list's names and states.
-        age: time since the list changed (ms).
+        is_request: whether this is a request for the same of the receiver's list, not a response.
+        sender: number of the proxy that sends the message.
+        incarnation: the sender's incarnation.
+        correlation_id: identifier of the request, which its response repeats.
+        index: version of the list, as counted by the service; 0 if the service does not count.
+        digest: digest of the list's names and states.
+        age_ms: time since the list changed.
     """
 
     is_request: bool
     sender: int
-    life: int
+    incarnation: int
     correlation_id: int
     index: int  # type: ignore[assignment]  # hides tuple.index, which nobody calls
     digest: int
@@ -58,12 +58,12 @@
 
 
 class DifferingPeer(NamedTuple):
-    """A peer whose list differs.
+    """A peer whose list differs from this proxy's.
 
     Attributes:
-        peer: its number.
-        message: what it said last.
-        duration: for how long it has differed (s).
+        peer: number of the peer.
+        message: the peer's latest message.
+        duration_s: how long the lists have differed.
     """
 
     peer: int
@@ -72,24 +72,24 @@
 
 
 def list_digest(states: dict[str, str]) -> int:
-    """Digest of the endpoints' names and states, whatever their order: 48 bits."""
+    """Returns a 48-bit digest of the endpoints' names and states, which does not depend on their order."""
     body = "\n".join(f"{name} {states[name]}" for name in sorted(states))
     return int.from_bytes(blake2b(body.encode(), digest_size=DIGEST_BYTES).digest())
 
 
 class ListFreshness:
-    """The list of one proxy, by version and digest, and what was last heard of each peer's.
+    """The version and digest of one proxy's list, and the latest message of each peer.
 
     Attributes:
-        index: version of the own list.
-        digest: of the own list.
-        at: when the own list changed (s).
-        heard: of each peer, when it was heard last (s), and what it said.
+        index: version of this proxy's list.
+        digest: digest of this proxy's list.
+        changed_at: when this proxy's list changed (s).
+        last_messages: by peer, when its latest message arrived (s), and the message.
         differs_since: by peer, since when its digest has differed (s).
     """
 
     def __init__(self, own_id: int, incarnation: int, proxies: int, rng: Random) -> None:
-        """Begins without a list.
+        """Starts without a list.
 
         Args:
             own_id: number of this proxy.
@@ -108,27 +108,27 @@
         self.differs_since: dict[int, float] = {}
         self._request_id = rng.getrandbits(REQUEST_ID_BITS)
         self._polled_at = -REPOLL_AFTER_S
-        self._behind_since: float | None = None  # since when a later list is known of (s)
+        self._behind_since: float | None = None  # since when a later list is known (s)
         self._difference_reported = False
 
     def set_own_list(self, now: float, index: int | None, states: dict[str, str]) -> None:
-        """Takes the list that the service has sent, or has said to be unchanged."""
-        found = list_digest(states)
-        if found != self.digest:
+        """Records the list that the service has sent, or has reported to be unchanged."""
+        new_digest = list_digest(states)
+        if new_digest != self.digest:
             self.changed_at = now
             self.differs_since.clear()
         self._behind_since = None
         self.index = index or 0
-        self.digest = found
+        self.digest = new_digest
 
     def begin_round(
         self, now: float, away: frozenset[int] = frozenset()
     ) -> tuple[list[int], ListDigestMessage]:
-        """Begins a round.
+        """Starts a round.
 
         Args:
             now: the time (s).
-            away: peers that are held to be unreachable; nothing is sent to them.
+            away: peers that are considered unreachable; nothing is sent to them.
 
         Returns:
             The peers to send a request to, and the request.
@@ -140,11 +140,11 @@
         return receivers, self.make_message(now, True, self._request_id)
 
     def make_message(self, now: float, is_request: bool, request_id: int) -> ListDigestMessage:
-        """What is said of the own list.
+        """Returns a request or a response with the state of this proxy's list.
 
         Args:
             now: the time (s).
-            is_request: whether it is a request.
+            is_request: whether the message is a request.
             request_id: identifier of the request.
         """
         age_ms = min(MAX_AGE_MS, max(0, round((now - self.changed_at) * 1000.0)))
@@ -153,7 +153,7 @@
         )
 
     def on_message(self, now: float, message: ListDigestMessage) -> None:
-        """Takes a peer's request or response."""
+        """Handles a peer's request or response; a request is answered by `make_message`."""
         peer = message.sender
         if peer == self.own_id:
             return
@@ -166,10 +166,11 @@
             self._behind_since = now
 
     def claim_poll(self, now: float) -> float | None:
-        """Whether the service is to be polled again now; a call that says so counts as a poll.
+        """Checks whether the service has to be polled again now; if so, the call counts as the poll.
 
         Returns:
-            The part of the peers that are no further than this proxy; None if it is not to be polled.
+            The fraction of the peers with recent messages that are not ahead of this proxy; None if the
+            service does not have to be polled.
         """
         if self._behind_since is None:
             return None
@@ -182,7 +183,7 @@
         return sum(message.index <= self.index for message in recent) / max(1, len(recent))
 
     def differing_peers(self, now: float) -> list[DifferingPeer]:
-        """Peers whose lists differ, and have done so between messages `DIFFERENCE_REPORTED_AFTER_S` apart."""
+        """Returns the peers whose lists have differed in messages `DIFFERENCE_REPORTED_AFTER_S` apart."""
         return [
             DifferingPeer(peer, self.last_messages[peer][1], now - since)
             for peer, since in sorted(self.differs_since.items())
@@ -190,7 +191,7 @@
         ]
 
     def claim_difference_report(self, now: float) -> bool:
-        """Whether it is to be reported now that lists differ: once until they agree again."""
+        """Returns whether a difference of lists has to be reported now: once, until all lists agree again."""
         differ = bool(self.differing_peers(now))
         report = differ and not self._difference_reported
         self._difference_reported = differ
--- a/calicofall/fleet/membership.py
+++ b/calicofall/fleet/membership.py
@@ -1,35 +1,37 @@
-"""Which members of the fleet are alive, as far as this proxy can tell: a failure detector without I/O.
+"""Membership: a failure detector that determines which members of the fleet are alive, without I/O.
 
-Every round a proxy probes the next member of a shuffled order, and a few of those that it, or a peer,
-suspects. A member that doesn't answer in time is probed through other members. Probes and answers carry
-suspicions, which are a reason to probe and nothing more. After SWIM (Das, Gupta, Motivala 2002), except that
-a proxy trusts its own probes alone, so that no refutations with incarnation counters are needed. The result
-is a hint: a wrong one costs quality of service, never correctness.
+In each round a proxy probes the next member of a shuffled order, and some of the members that it or a peer
+suspects. A member that does not answer in time is probed through other members. Probes and answers carry
+suspicions, which only cause probes. The protocol follows SWIM (Das, Gupta, Motivala 2002), except that a
+proxy trusts its own probes alone, so no refutations with incarnation counters are needed. The result is a
+hint: a wrong one costs quality of service, never correctness.
 
-States of a member, and the transitions between them:
+States of a member and transitions. The names are those of `MemberState`; operators read the values of that
+enumeration (here, doubted, away, unmet):
 
-- unmet: it has never answered. Becomes here by an answer, doubted as below.
-- here: the last probe was answered, to this proxy or to a member that probed for it. Becomes doubted when a
-  round ends without an answer.
-- doubted: becomes here by an answer to any probe; away once doubted for SUSPICION_TIMEOUT_S, with no answer
-  in MIN_FAILED_ROUNDS rounds, or in one round where CONFIRMING_PEERS others suspect the same incarnation.
-- away: probed once per pass over the order, and when it probes us. Becomes here by an answer to a probe that
-  was sent after it was held to be away.
+- UNMET: the member has never answered. An answer changes the state to ALIVE; it becomes SUSPECTED as below.
+- ALIVE: the last probe was answered, to this proxy or to a member that probed on its behalf. The state
+  changes to SUSPECTED when a round ends without an answer.
+- SUSPECTED: an answer to any probe changes the state to ALIVE. The state changes to AWAY once the member has
+  been suspected for SUSPICION_TIMEOUT_S, and has failed MIN_FAILED_ROUNDS rounds, or one round if
+  CONFIRMING_PEERS others suspect the same incarnation.
+- AWAY: the member is probed once per pass over the order, and when it probes this proxy. An answer to a probe
+  that was sent after the member became AWAY changes the state to ALIVE.
 
-An answer by another incarnation to a later probe ends the former incarnation, and all suspicions of it.
+An answer to a later probe by another incarnation ends the former incarnation, and all suspicions of it.
 
 Invariants:
-- A peer's message never makes a member away by itself.
-- What was said of one incarnation is never held against another.
-- While this proxy is isolated, or late itself, it suspects nobody for it.
-- A round sends at most 1 + SUSPECTS_PER_ROUND probes, and INDIRECT_PROBERS more for each that isn't answered,
-  whatever the size of the fleet.
+- A peer's message alone never changes a member's state to AWAY.
+- Suspicions of one incarnation are never applied to another.
+- While this proxy is isolated, or its own timers run late, it declares no member to be away.
+- A round sends at most 1 + SUSPECTS_PER_ROUND probes, and INDIRECT_PROBERS requests for each probe that is
+  not answered, whatever the size of the fleet.
 
-How long it takes, for N members of which d fail at the same time, without loss:
+Time to detection, for N members of which d fail at the same time, without message loss:
 
-- the first suspicion by some member: ROUND_INTERVAL_S * (1 + 1 / (1 - 1 / e)) on average; each member has
-  probed the failed one within 2 N rounds
-- all members know the suspicion: ROUND_INTERVAL_S * log2(N) more
+- first suspicion by any member: ROUND_INTERVAL_S * (1 + 1 / (1 - 1 / e)) on average; each member has probed
+  the failed one within 2 N rounds
+- all members know the suspicion: ROUND_INTERVAL_S * log2(N) later
 - away: SUSPICION_TIMEOUT_S + ROUND_INTERVAL_S * MIN_FAILED_ROUNDS * ceil(d / SUSPECTS_PER_ROUND) after that
 """
 
@@ -39,34 +41,36 @@
 from typing import NamedTuple
 
 ROUND_INTERVAL_S = 1.0
-DIRECT_ANSWER_TIMEOUT_S = 0.3  # then other members are asked to probe
-INDIRECT_PROBERS = 3  # members that are asked to probe one that hasn't answered
+DIRECT_ANSWER_TIMEOUT_S = 0.3  # time after which other members are asked to probe
+INDIRECT_PROBERS = 3  # members that are asked to probe one that has not answered
 SUSPECTS_PER_ROUND = 4
 SUSPICIONS_PER_MESSAGE = 4
-SUSPICION_TIMEOUT_S = 5.0  # the shortest time between doubted and away
+SUSPICION_TIMEOUT_S = 5.0  # shortest time between SUSPECTED and AWAY
 MIN_FAILED_ROUNDS = 3
 CONFIRMING_PEERS = 2
-RECENT_ANSWER_S = 3.0  # a member that answered since isn't probed because a peer suspects it
-MAX_ROUND_LATENESS_S = 0.3  # a round that ends later than this blames nobody
-PROBE_LIFETIME_S = 10.0  # answers to older probes are ignored, and older suspicions don't count
-ISOLATION_ROUNDS = 3.0  # without any answer for this many rounds, this proxy holds itself to be isolated
-MAX_RELAYED_PROBES = 32  # probes for other members that are out at one time
+RECENT_ANSWER_S = (
+    3.0  # a member that answered a probe sent within this time is not probed for a peer's suspicion
+)
+MAX_ROUND_LATENESS_S = 0.3  # a round that ends later than this is void
+PROBE_LIFETIME_S = 10.0  # answers to older probes are ignored, and older suspicions do not count
+ISOLATION_ROUNDS = 3.0  # after this many rounds without any answer, this proxy considers itself isolated
+MAX_RELAYED_PROBES = 32  # outstanding probes on behalf of other members
 MAX_QUEUED_SUSPICIONS = 64
 MAX_SEEN_SUSPICIONS = 256
 MAX_FORMER_INCARNATIONS = 4  # remembered for each member
 
 
 class ProbeKind(IntEnum):
-    """What a message asks for or answers; the numbers are those in datagrams."""
+    """The kind of a message; the numbers are those in datagrams."""
 
     PROBE = 0
     PROBE_ANSWER = 1
     INDIRECT_PROBE = 2  # a request to probe `subject` on the sender's behalf
-    INDIRECT_ANSWER = 3  # `subject` has answered the member that probed on our behalf
+    INDIRECT_ANSWER = 3  # `subject` has answered the sender, which probed it on the receiver's behalf
 
 
 class MemberState(StrEnum):
-    """The state of a member at this proxy; the values are those that operators read."""
+    """The state of a member as seen by this proxy; the values are those that operators read."""
 
     ALIVE = "here"
     SUSPECTED = "doubted"
@@ -79,11 +83,16 @@
 
 
 class MembershipProbe(NamedTuple):
-    """A probe or an answer. Datagrams hold the fields in this order.
-
-    `kind` is a `ProbeKind`, `mark` tells probes of one sender apart, and an answer has that of its probe.
-    `subject` is the member that the message is about, with its incarnation in an `INDIRECT_ANSWER` alone.
-    `rumours` holds suspicions as three numbers each: member, its incarnation, who suspects it.
+    """A probe or an answer; sent as an array of these fields, in this order.
+
+    Attributes:
+        kind: a `ProbeKind`.
+        sender: number of the proxy that sends the message.
+        incarnation: the sender's incarnation.
+        correlation_id: identifier of the probe among those of its sender, which an answer repeats.
+        subject: the member that the message is about.
+        subject_incarnation: incarnation of the subject, in an `INDIRECT_ANSWER`; otherwise 0.
+        suspicions: three numbers for each: the member, its incarnation, and the member that suspects it.
     """
 
     kind: int
@@ -96,7 +105,7 @@
 
 
 class Suspicion(NamedTuple):
-    """That a member suspects an incarnation of another one."""
+    """A suspicion: a member suspects an incarnation of another member."""
 
     member: int
     incarnation: int
@@ -104,21 +113,21 @@
 
 
 class OutstandingProbe(NamedTuple):
-    """A probe that may still be answered: whom it was sent to, and when (s)."""
+    """A probe that may still be answered: its receiver, and when it was sent (s)."""
 
     member: int
     sent_at: float
 
 
 class RelayedProbe(NamedTuple):
-    """For which member a probe was sent on, and the number that this member gave its request."""
+    """The member on whose behalf a probe was sent, and the identifier of that member's request."""
 
     requester: int
     request_correlation_id: int
 
 
 class PeerState:
-    """What this proxy knows of a member; moments in seconds."""
+    """What this proxy knows about a member; points in time are in seconds."""
 
     __slots__ = (
         "incarnation",
@@ -132,18 +141,20 @@
     )
 
     def __init__(self) -> None:
-        self.incarnation = 0  # 0: it has never answered
+        self.incarnation = 0  # 0: the member has never answered
         self.former_incarnations: list[int] = []
-        self.last_answered_at = -inf  # when the latest probe was sent that it has answered
-        self.reached_via: int | None = None  # the member that reached it where our own probe did not
+        self.last_answered_at = -inf  # when the latest probe was sent that the member has answered
+        self.reached_via: int | None = None  # the member that reached it when this proxy's probe did not
         self.suspected_since: float | None = None
-        self.failed_rounds = 0  # rounds without an answer since it is suspected
-        self.suspecting_peers: dict[int, float] = {}  # who suspects this incarnation, and when we heard so
+        self.failed_rounds = 0  # rounds without an answer since the suspicion began
+        self.suspecting_peers: dict[
+            int, float
+        ] = {}  # peers that suspect this incarnation, and when they said so
         self.away_since: float | None = None
 
     @property
     def state(self) -> MemberState:
-        """Which state the member is in."""
+        """The state of the member."""
         if self.away_since is not None:
             return MemberState.AWAY
         if self.suspected_since is not None:
@@ -151,11 +162,11 @@
         return MemberState.ALIVE if self.incarnation else MemberState.UNMET
 
     def knows_incarnation(self, incarnation: int) -> bool:
-        """Whether the incarnation is the present one or a former one."""
+        """Returns whether the incarnation is the present one or a former one."""
         return incarnation == self.incarnation or incarnation in self.former_incarnations
 
     def begin_incarnation(self, incarnation: int) -> None:
-        """The member has restarted: what was said of its former incarnation doesn't apply to this one."""
+        """Starts a new incarnation of the member; suspicions of the former one do not apply to it."""
         if self.incarnation:
             self.former_incarnations = [*self.former_incarnations, self.incarnation][
                 -MAX_FORMER_INCARNATIONS:
@@ -164,17 +175,17 @@
         self.suspecting_peers.clear()
 
     def suspect(self, now: float) -> None:
-        """The member is suspected from now on, without a failed round so far."""
+        """Starts or restarts the suspicion of the member, with no failed rounds so far."""
         self.suspected_since = now
         self.failed_rounds = 0
 
     def current_suspecting_peers(self, now: float) -> dict[int, float]:
-        """Who suspects this incarnation, without what was heard too long ago."""
+        """Returns the peers that suspect this incarnation, without suspicions that are too old."""
         earliest = now - PROBE_LIFETIME_S
-        return {peer: heard_at for peer, heard_at in self.suspecting_peers.items() if heard_at >= earliest}
+        return {peer: at for peer, at in self.suspecting_peers.items() if at >= earliest}
 
     def is_failed(self, now: float) -> bool:
-        """Whether the member, which is suspected, is away by now."""
+        """Returns whether the member has been suspected long enough to be away."""
         if self.suspected_since is None or now - self.suspected_since < SUSPICION_TIMEOUT_S:
             return False
         if self.failed_rounds >= MIN_FAILED_ROUNDS:
@@ -185,7 +196,7 @@
 class Membership:
     """The members of the fleet as one proxy sees them.
 
-    `own_id` is this proxy's number. Moments are in seconds of this proxy's own clock.
+    `own_id` is this proxy's number. Points in time are in seconds of this proxy's own clock.
     """
 
     def __init__(
@@ -198,23 +209,22 @@
         self.probe_order: list[int] = []
         self.last_probe_id = rng.getrandbits(40)
         self.outstanding_probes: dict[int, OutstandingProbe] = {}
-        self.unanswered: dict[int, int] = {}  # probes of this round: the member by the probe's number
-        self.relayed_probes: dict[int, RelayedProbe] = {}  # by the number of our own probe
-        self.probe_queue: dict[int, None] = {}  # whom to probe beside the order, the longest waiting first
-        self.queued_suspicions: dict[
-            tuple[int, int, int], int
-        ] = {}  # how often each suspicion is still to be sent
-        self.seen_suspicions: dict[tuple[int, int, int], float] = {}  # when each was heard last
-        self.last_contact_at = now  # when the latest probe was sent that anybody has answered
+        self.unanswered: dict[int, int] = {}  # probes of this round: the member, by the probe's identifier
+        self.relayed_probes: dict[int, RelayedProbe] = {}  # by the identifier of this proxy's probe
+        self.probe_queue: dict[int, None] = {}  # members to probe besides the order, longest waiting first
+        # By suspicion, how many more times it is to be sent.
+        self.queued_suspicions: dict[tuple[int, int, int], int] = {}
+        self.seen_suspicions: dict[tuple[int, int, int], float] = {}  # by suspicion, when it last arrived
+        self.last_contact_at = now  # when the latest probe was sent that any member has answered
         self.next_round_at = now
         self.indirect_probes_at = inf
         self.rounds_judged = 0
-        self.rounds_void = 0  # rounds that didn't count, since this proxy was late itself
+        self.rounds_void = 0  # rounds that did not count, since this proxy's timer was late
         self.away_changed = False
         self.set_members(members)
 
     def set_members(self, members: frozenset[int]) -> None:
-        """Sets who the members are; what is known of those that stay is kept."""
+        """Sets the members; the state of those that stay is kept."""
         others = members - {self.own_id}
         for member in self.peers.keys() - others:
             del self.peers[member]
@@ -222,36 +232,36 @@
         for member in others - self.peers.keys():
             self.peers[member] = PeerState()
         self.probe_order = [member for member in self.probe_order if member in others]
-        self.transmissions = 2 * ceil(log2(len(others) + 2))  # how often each suspicion is sent
+        self.transmissions = 2 * ceil(log2(len(others) + 2))  # how many times each suspicion is sent
 
     # Queries
 
     def state(self, member: int) -> MemberState:
-        """Which state a member is in; this proxy is always alive."""
+        """Returns the state of a member; this proxy itself is always alive."""
         peer = self.peers.get(member)
         if peer is not None:
             return peer.state
         return MemberState.ALIVE if member == self.own_id else MemberState.NOT_A_MEMBER
 
     def away_members(self) -> frozenset[int]:
-        """The members that are held to be away."""
+        """Returns the members that are away."""
         return frozenset(member for member, peer in self.peers.items() if peer.away_since is not None)
 
     def alive_members(self) -> list[int]:
-        """The members that have answered last, and aren't suspected."""
+        """Returns the members that are alive: they have answered, and are neither suspected nor away."""
         return [member for member, peer in self.peers.items() if peer.state is MemberState.ALIVE]
 
     def is_isolated(self, now: float) -> bool:
-        """Whether nobody has answered lately: then it is rather this proxy that is cut off."""
+        """Returns whether no member has answered lately, so that this proxy itself is probably cut off."""
         return now - self.last_contact_at > ISOLATION_ROUNDS * ROUND_INTERVAL_S
 
     # Messages
 
     def on_message(self, now: float, message: MembershipProbe) -> list[tuple[int, MembershipProbe]]:
-        """Takes a message; returns what to send for it, and to whom."""
+        """Handles a message; returns the messages to send, each with its receiver."""
         sender = self.peers.get(message.sender)
         if sender is None:
-            return []  # our own, or from one that isn't a member
+            return []  # from this proxy itself, or from a proxy that is not a member
         for start in range(0, len(message.suspicions) - 2, 3):
             self._on_suspicion(now, *message.suspicions[start : start + 3])
         if message.kind == ProbeKind.PROBE:
@@ -261,7 +271,8 @@
         return self._on_answer(message)
 
     def _on_probe(self, message: MembershipProbe, sender: PeerState) -> list[tuple[int, MembershipProbe]]:
-        # A probe may be a duplicate of an old one, so it proves nothing but that it's worth probing back.
+        # A probe may be a duplicate of an old one, so it is no evidence; it only causes a probe of its
+        # sender.
         is_new = not sender.knows_incarnation(message.incarnation)
         if is_new or sender.suspected_since is not None or sender.away_since is not None:
             self.probe_queue.setdefault(message.sender)
@@ -284,7 +295,7 @@
             or probe.member != message.subject
             or (is_direct and message.subject != message.sender)
         ):
-            return []  # to no probe of this incarnation, too late, or answered before
+            return []  # to no probe of this incarnation, too late, or a duplicate
         del self.outstanding_probes[message.correlation_id]
         self.unanswered.pop(message.correlation_id, None)
         if not is_direct:
@@ -300,17 +311,17 @@
         return [(relayed.requester, answer)]
 
     def _record_answer(self, member: int, incarnation: int, sent_at: float, via: int | None) -> None:
-        """A member has answered (to the member `via`, if any) a probe that was sent at `sent_at`."""
+        """Records an answer to a probe that was sent at `sent_at`; `via` is the prober if it was indirect."""
         self.last_contact_at = max(self.last_contact_at, sent_at)
         peer = self.peers[member]
         if sent_at < peer.last_answered_at:
-            return  # an answer that was delayed, perhaps by a former incarnation
+            return  # a delayed answer, perhaps of a former incarnation
         if incarnation != peer.incarnation:
             peer.begin_incarnation(incarnation)
         peer.last_answered_at = sent_at
         peer.reached_via = via
         if peer.away_since is not None and sent_at <= peer.away_since:
-            return  # the probe was sent before the member was held to be away
+            return  # the probe was sent before the member became AWAY
         self.away_changed |= peer.away_since is not None
         peer.suspected_since = None
         peer.away_since = None
@@ -319,7 +330,7 @@
         self.queued_suspicions.pop((member, incarnation, self.own_id), None)
 
     def _on_suspicion(self, now: float, member: int, incarnation: int, suspected_by: int) -> None:
-        """`suspected_by` suspects another member."""
+        """Handles a suspicion of a member by the member `suspected_by`."""
         peer = self.peers.get(member)
         if peer is None or suspected_by == member or suspected_by not in self.peers:
             return
@@ -331,9 +342,9 @@
         self._queue_suspicion(*suspicion)
         if incarnation == peer.incarnation:
             peer.suspecting_peers = peer.current_suspecting_peers(now) | {suspected_by: now}
-        # Without the limit to members that haven't answered lately, a suspicion makes the whole fleet probe
-        # the member at once; where links lose datagrams some of these probes fail and raise new suspicions,
-        # without end. An incarnation that hasn't answered us yet is a reason to probe, too.
+        # A member that has answered lately is not probed: otherwise a suspicion would make the whole fleet
+        # probe it at once, and where links lose datagrams some of these probes would fail and cause new
+        # suspicions without end. An incarnation that has not answered this proxy yet is probed, too.
         is_stale = peer.last_answered_at < now - RECENT_ANSWER_S or incarnation != peer.incarnation
         if peer.away_since is None and is_stale:
             self.probe_queue.setdefault(member)
@@ -352,7 +363,7 @@
     def _message(
         self, kind: int, correlation_id: int, subject: int, subject_incarnation: int = 0
     ) -> MembershipProbe:
-        """A message, with the suspicions that have been sent least often."""
+        """Returns a message, with the suspicions that have been sent least often."""
         suspicions = sorted(self.queued_suspicions, key=self.queued_suspicions.__getitem__, reverse=True)[
             :SUSPICIONS_PER_MESSAGE
         ]
@@ -367,14 +378,14 @@
         )
 
     def _probe(self, now: float, member: int) -> tuple[int, MembershipProbe]:
-        """A new probe of a member, and its number."""
+        """Returns a new probe of a member, after its identifier."""
         self.last_probe_id += 1
         correlation_id = self.last_probe_id
         self.outstanding_probes[correlation_id] = OutstandingProbe(member, now)
         if self.state(member) is MemberState.ALIVE:
             return correlation_id, self._message(ProbeKind.PROBE, correlation_id, member)
-        # Without suspicions: each is sent a limited number of times, and those sent to members that have
-        # failed would never spread.
+        # Carries no suspicions: each is sent a limited number of times, and those sent to failed members
+        # would not spread.
         return correlation_id, MembershipProbe(
             ProbeKind.PROBE, self.own_id, self.incarnation, correlation_id, self.own_id, 0, ()
         )
@@ -382,30 +393,30 @@
     # Rounds
 
     def wake(self, now: float) -> tuple[list[tuple[int, MembershipProbe]], float]:
-        """Returns the messages to send, with whom to send each to, and when to be called again (s)."""
-        out: list[tuple[int, MembershipProbe]] = []
+        """Returns the messages to send, each with its receiver, and the time of the next call (s)."""
+        messages: list[tuple[int, MembershipProbe]] = []
         if now >= self.indirect_probes_at:
             self.indirect_probes_at = inf
-            out += self._request_indirect_probes()
+            messages += self._request_indirect_probes()
         if now >= self.next_round_at:
             self._end_round(now)
-            out += self._begin_round(now)
-        return out, min(self.next_round_at, self.indirect_probes_at)
+            messages += self._begin_round(now)
+        return messages, min(self.next_round_at, self.indirect_probes_at)
 
     def _request_indirect_probes(self) -> list[tuple[int, MembershipProbe]]:
-        """Asks other members to probe those that haven't answered in this round."""
-        out = []
+        """Asks other members to probe those that have not answered in this round."""
+        messages = []
         reachable = [
             member for member, peer in self.peers.items() if peer.incarnation and peer.away_since is None
         ]
         for correlation_id, member in self.unanswered.items():
             others = [other for other in reachable if other != member]
             for prober in self.rng.sample(others, min(INDIRECT_PROBERS, len(others))):
-                out.append((prober, self._message(ProbeKind.INDIRECT_PROBE, correlation_id, member)))
-        return out
+                messages.append((prober, self._message(ProbeKind.INDIRECT_PROBE, correlation_id, member)))
+        return messages
 
     def _end_round(self, now: float) -> None:
-        """Suspects the members that haven't answered, and finds those that are away."""
+        """Suspects the members that have not answered, and determines those that are away."""
         lateness = now - self.next_round_at
         if lateness > MAX_ROUND_LATENESS_S:
             self._void_round(lateness)
@@ -417,8 +428,8 @@
             if peer.suspected_since is None:
                 continue
             if self.is_isolated(now):
-                # Without this a proxy that is cut off would hold all others to be away, and act on it when
-                # its network is back.
+                # Without this, a proxy that is cut off would consider all others away, and act on it once its
+                # network is back.
                 peer.suspect(now)
             elif peer.is_failed(now):
                 peer.suspected_since = None
@@ -427,7 +438,7 @@
                 self.away_changed = True
 
     def _void_round(self, lateness: float) -> None:
-        """This proxy was stopped or overloaded: the answers may wait unread, so nobody is blamed for it."""
+        """Ends a round without suspicions: this proxy was stopped or overloaded, so answers may be unread."""
         self.rounds_void += 1
         for peer in self.peers.values():
             if peer.suspected_since is not None:
@@ -447,17 +458,17 @@
             self.probe_queue.setdefault(member)
 
     def _begin_round(self, now: float) -> list[tuple[int, MembershipProbe]]:
-        """Probes the next member of the order and the longest waiting ones of the queue."""
+        """Probes the next member of the order and the longest waiting members of the queue."""
         self.next_round_at = now + ROUND_INTERVAL_S * self.rng.uniform(0.9, 1.0)
         self.unanswered.clear()
         self._drop_expired_probes(now)
-        out = []
+        messages = []
         for member in self._members_to_probe():
             correlation_id, probe = self._probe(now, member)
             self.unanswered[correlation_id] = member
-            out.append((member, probe))
-        self.indirect_probes_at = now + DIRECT_ANSWER_TIMEOUT_S if out else inf
-        return out
+            messages.append((member, probe))
+        self.indirect_probes_at = now + DIRECT_ANSWER_TIMEOUT_S if messages else inf
+        return messages
 
     def _drop_expired_probes(self, now: float) -> None:
         earliest = now - PROBE_LIFETIME_S
@@ -483,19 +494,19 @@
     # Reports
 
     def take_away_changed(self) -> bool:
-        """Whether the set of members that are away has changed since the last call."""
+        """Returns whether the set of members that are away has changed since the last call."""
         changed = self.away_changed
         self.away_changed = False
         return changed
 
     def format_lines(self, now: float) -> list[str]:
-        """For operators: the number of members in each state, rounds judged and void, whether isolated.
+        """Returns the metrics: number of members by state, rounds judged and void, whether isolated.
 
-        A line follows for each member that is suspected or away, with who else suspects it, and for each
-        that is reached through another member alone.
+        A line follows for each member that is suspected or away, with the peers that suspect it, and for each
+        member that is reached only through another one.
         """
         states = [peer.state for peer in self.peers.values()]
-        out = [
+        lines = [
             f"members.me:{self.own_id}",
             f"members.life:{self.incarnation:012x}",
             *(f"members.{state}:{states.count(state)}" for state in COUNTED_STATES),
@@ -506,8 +517,8 @@
         for member, peer in sorted(self.peers.items()):
             line = self._peer_line(now, member, peer)
             if line is not None:
-                out.append(line)
-        return out
+                lines.append(line)
+        return lines
 
     @staticmethod
     def _peer_line(now: float, member: int, peer: PeerState) -> str | None:
--- a/calicofall/fleet/outlier_consensus.py
+++ b/calicofall/fleet/outlier_consensus.py
@@ -1,43 +1,49 @@
-"""Whether an endpoint is an outlier to the whole fleet: evidence is shared, decisions aren't.
-
-A proxy that suspects an endpoint asks other members for their evidence on it, counts votes, and decides for
-itself. The decision is a hint to the router: a wrong one costs quality of service, never correctness. The
-module does no I/O.
-
-Evidence on an endpoint is how many requests lately succeeded and failed there; both halve in HALF_LIFE_S.
-Failures are: no connection, reset, invalid answer, timeout, or an answer that took over SLOW_FACTOR times the
-usual time. Large answers, and rejections for want of capacity, tell nothing about an endpoint's health.
-Large answers are evidence on an endpoint id of their own (see large_answers.py): an endpoint that is
-unhealthy by that one alone is slow for large answers alone. An answer that didn't come counts for both ids,
-by how likely it would have been large.
-
-Steps of a query: an endpoint is suspected (the router avoids it, or MIN_FAILURES_TO_SUSPECT requests failed
-here and more than succeeded) or was asked about by MIN_ASKING_PEERS others -> queried: PEERS_PER_QUERY
-members are asked -> decided: when all have answered, or after ANSWER_TIMEOUT_S. Each that has seen
-MIN_REQUESTS_TO_VOTE has a vote, this proxy among them: unhealthy if more of its requests failed than
-succeeded. A decision expires after HOLD s, unless another query confirms it:
-
-- unhealthy: over 2/3 of at least MIN_VOTES votes, most votes of our zone and most of the others, as far as
-  there are any
-- overloaded: the same, but by the voters' own counts it is sent over OVERLOAD_FACTOR times what the mean
-  endpoint is sent, and over MIN_RESPONSIVE_FRACTION of the voters had their last answer succeed. Each proxy
-  goes on by itself then: load that all take elsewhere at once would overload the next endpoint
-- unreachable from this zone: unhealthy to over 2/3 of our zone's votes, healthy to over 2/3 of at least
-  MIN_VOTES votes of others
-- healthy: to over 2/3 of at least MIN_VOTES other voters, of which those that vote healthy had a success
-  after our last failure; and we have seen little ourselves, or more successes than failures
-- undecided: anything else; the router goes on by itself
+"""Outlier consensus: proxies exchange evidence on whether an endpoint is an outlier, and each decides alone.
+
+A proxy that suspects an endpoint queries other members for their evidence on it, counts votes, and makes its
+own decision. The decision is a hint to the router: a wrong one costs quality of service, never correctness.
+The module performs no I/O.
+
+Evidence on an endpoint is the number of requests that lately succeeded and failed there; both counts halve in
+HALF_LIFE_S. Failures are: no connection, a reset, an invalid answer, a timeout, or an answer that took longer
+than SLOW_FACTOR times the baseline latency. Large answers and rejections for lack of capacity are no evidence
+on an endpoint's health. Large answers are evidence on a separate endpoint id (see large_answers.py): an
+endpoint that is unhealthy by this id only is slow for large answers only. A missing answer counts for both
+ids, weighted with the probability that it would have been large.
+
+Steps of a query: an endpoint is suspected (the router avoids it, or at least MIN_FAILURES_TO_SUSPECT requests
+failed here, and more than succeeded), or MIN_ASKING_PEERS other members have queried this proxy about it ->
+queried: PEERS_PER_QUERY members are asked -> decided when all of them have answered, or after
+ANSWER_TIMEOUT_S. Each member with MIN_REQUESTS_TO_VOTE requests there has a vote, including this proxy; the
+vote is unhealthy if more of its requests failed than succeeded. A decision expires after DECISION_LIFETIME_S,
+unless another query confirms it:
+
+- unhealthy: by more than 2/3 of at least MIN_VOTES votes, and by a majority of the votes of this proxy's zone
+  and of those of the other zones, as far as there are any
+- overloaded: the same, but by the voters' own counts the endpoint receives more than OVERLOAD_FACTOR times
+  the requests of the mean endpoint, and the last answer was a success for more than MIN_RESPONSIVE_FRACTION
+  of the voters. Each proxy then acts on its own evidence: load that all of them moved at once would overload
+  the next endpoint
+- unreachable from this zone: unhealthy by more than 2/3 of at least MIN_ZONE_VOTES votes of this proxy's
+  zone, and healthy by more than 2/3 of at least MIN_VOTES votes of other zones
+- healthy: by more than 2/3 of the votes of at least MIN_VOTES other members, where a vote for healthy counts
+  only with a success after this proxy's last failure; and this proxy has few requests of its own there, or
+  more successes than failures
+- undecided: in any other case; the router acts on its own evidence
 
 Invariants:
-- A peer's votes in one query count once, and only for the query that it answers.
-- Another proxy's decision is never taken over; one proxy that lies is one vote of MIN_VOTES or more.
-- Of the listed endpoints at most MAX_EJECTED_FRACTION, or one, may be ejected on peers' evidence.
-- A round sends QUERIES_PER_ROUND * PEERS_PER_QUERY messages at most, and none while nothing is suspected.
-
-Time: who suspects an endpoint has a decision after ANSWER_TIMEOUT_S; MIN_ASKING_PEERS that ask spread the
-suspicion in ROUND_INTERVAL_S * ln(N) / ln(1 + QUERIES_PER_ROUND * PEERS_PER_QUERY / MIN_ASKING_PEERS) on
-average. Known harm: an endpoint that fails at times only may be held to be healthy for HOLD s; one with hot
-keys that fails most requests but not all is held to be overloaded, and each proxy finds that out alone.
+- A member's vote counts once in a query, and only in the query that it answers.
+- Another proxy's decision is never adopted. A proxy that lies has one vote of MIN_VOTES or more.
+- At most MAX_EJECTED_FRACTION of the listed endpoints, or one, may be ejected on peers' evidence.
+- A round sends at most QUERIES_PER_ROUND * PEERS_PER_QUERY messages, and none while no endpoint is suspected.
+
+Time: a proxy that suspects an endpoint has a decision after ANSWER_TIMEOUT_S. As each proxy starts a query
+once MIN_ASKING_PEERS have asked it, a suspicion spreads in ROUND_INTERVAL_S * ln(N) /
+ln(1 + QUERIES_PER_ROUND * PEERS_PER_QUERY / MIN_ASKING_PEERS) on average.
+
+Known limitations: an endpoint that fails only at times may count as healthy for DECISION_LIFETIME_S. An
+endpoint with hot keys that fails most requests but not all counts as overloaded, and each proxy has to detect
+that alone.
 """
 
 from collections.abc import Iterable
@@ -51,27 +57,27 @@
 HALF_LIFE_S = 2.5
 DECAY_PER_HALF_LIFE = 0.6931  # ln 2
 MIN_FAILURES_TO_SUSPECT = 1.5
-MIN_REQUESTS_TO_VOTE = 0.2  # one request within 5.8 s
-SUFFICIENT_OWN_REQUESTS = 4.0  # with so many of its own, a proxy doesn't trust peers against them
-DISCARDING_FAILURES = 2  # so many failures in a row void the successes before them
+MIN_REQUESTS_TO_VOTE = 0.2  # one request within the last 5.8 s
+SUFFICIENT_OWN_REQUESTS = 4.0  # with this many requests of its own, a proxy does not trust peers against them
+DISCARDING_FAILURES = 2  # consecutive failures that discard the successes before them
 PEERS_PER_QUERY = 8
 MIN_VOTES = 3
-MIN_ZONE_VOTES = 2  # of our zone, to tell that the endpoint is unreachable from there
+MIN_ZONE_VOTES = 2  # votes of this proxy's zone by which an endpoint can be unreachable from there
 MIN_ASKING_PEERS = 2
 ANSWER_TIMEOUT_S = 0.3
 ROUND_INTERVAL_S = 0.5
-DECISION_LIFETIME_S = 5.0  # s
+DECISION_LIFETIME_S = 5.0
 QUERIES_PER_ROUND = 2
-REQUERY_AFTER_S = 2.0
+REQUERY_AFTER_S = 2.0  # shortest time between two queries on one endpoint
 MAX_EJECTED_FRACTION = 0.1
-NEVER_S = 3600.0  # stands for an event that hasn't happened, and is the longest age in a message
+NEVER_S = 3600.0  # age of an event that has not happened, and the highest age in a message
 UNITS_PER_REQUEST = 16  # messages count requests in sixteenths
 OVERLOAD_FACTOR = 1.5
 MIN_RESPONSIVE_FRACTION = 1 / 8
 
 
 class EndpointHealth(StrEnum):
-    """What a query has found; the values are those that operators read."""
+    """The result of a query; the values are those that operators read."""
 
     UNHEALTHY = "sick"
     UNREACHABLE_FROM_ZONE = "way"
@@ -80,7 +86,7 @@
     UNDECIDED = "unsure"
 
 
-# The names by which proxy/outlier_reports.py imports these.
+# Names under which proxy/outlier_reports.py and testbed/outlier_simulation.py import these.
 UNHEALTHY = EndpointHealth.UNHEALTHY
 UNREACHABLE_FROM_ZONE = EndpointHealth.UNREACHABLE_FROM_ZONE
 HEALTHY = EndpointHealth.HEALTHY
@@ -93,11 +99,22 @@
 
 
 class EvidenceMessage(NamedTuple):
-    """A query for evidence, or an answer; both hold the sender's. Datagrams hold the fields in this order.
-
-    `mark` is the query's number. Requests that succeeded (`well`), failed (`badly`), or ended at all at this
-    endpoint and at the mean one, are in units of 1 / UNITS_PER_REQUEST. `age` is how long ago the last
-    request ended (ms), if it succeeded, and otherwise NEVER_S.
+    """A query for evidence, or an answer; sent as an array of these fields, in this order.
+
+    Both contain the sender's evidence. Numbers of requests are in units of 1 / UNITS_PER_REQUEST.
+
+    Attributes:
+        is_query: whether this is a query.
+        sender: number of the proxy that sends the message.
+        incarnation: the sender's incarnation.
+        correlation_id: identifier of the query, which its answers repeat.
+        endpoint: id of the endpoint.
+        zone: digest of the sender's zone.
+        successes: requests that lately succeeded at the endpoint.
+        failures: requests that lately failed there.
+        last_success_age_ms: time since the last request ended there, if it succeeded; otherwise NEVER_S.
+        endpoint_requests: requests that lately ended there.
+        mean_endpoint_requests: requests that lately ended at the mean endpoint.
     """
 
     is_query: bool
@@ -114,7 +131,7 @@
 
 
 class EjectionDecision(NamedTuple):
-    """The result of a query (`what`): how many of the votes were for unhealthy, and whose; expiry (s)."""
+    """The result of a query, the votes that it rests on, and when it expires (s)."""
 
     health: EndpointHealth
     unhealthy_votes: int
@@ -124,7 +141,7 @@
 
 
 class PeerEvidence(NamedTuple):
-    """A peer's answer: its zone and requests, and when its last one succeeded, by our clock (s)."""
+    """A peer's answer: its zone and requests, and when the last one succeeded, by this proxy's clock (s)."""
 
     zone: int
     successes: float
@@ -135,31 +152,31 @@
 
 
 class Vote(NamedTuple):
-    """What the evidence of one proxy says."""
+    """The vote that follows from the evidence of one proxy."""
 
     zone: int
     is_unhealthy: bool
 
 
 class Tally(NamedTuple):
-    """Votes counted."""
+    """The number of votes for unhealthy, and of all votes."""
 
     unhealthy: int
     total: int
 
     @property
     def most_unhealthy(self) -> bool:
-        """Whether over 2/3 are for unhealthy."""
+        """Whether more than 2/3 are for unhealthy."""
         return 3 * self.unhealthy > 2 * self.total
 
     @property
     def most_healthy(self) -> bool:
-        """Whether over 2/3 are for healthy."""
+        """Whether more than 2/3 are for healthy."""
         return 3 * (self.total - self.unhealthy) > 2 * self.total
 
     @property
     def majority_unhealthy_or_none(self) -> bool:
-        """Whether over half are for unhealthy, or there are no votes."""
+        """Whether more than half are for unhealthy, or there are no votes."""
         return 2 * self.unhealthy > self.total or not self.total
 
     @classmethod
@@ -170,7 +187,7 @@
 
 
 class Evidence:
-    """Requests at an endpoint lately, each decaying, and moments in seconds."""
+    """Requests that lately ended at an endpoint, as decaying counts; points in time are in seconds."""
 
     __slots__ = (
         "successes",
@@ -192,7 +209,7 @@
         self.consecutive_failures = 0.0
 
     def decay(self, now: float) -> tuple[float, float]:
-        """Brings the counts up to date; returns successes and failures."""
+        """Decays the counts to `now`; returns successes and failures."""
         factor = exp(-DECAY_PER_HALF_LIFE * max(0.0, now - self.updated_at) / HALF_LIFE_S)
         self.successes *= factor
         self.failures *= factor
@@ -201,39 +218,40 @@
         return self.successes, self.failures
 
     def record_success(self, now: float) -> None:
-        """A request succeeded; the counts are up to date."""
+        """Counts a success; `decay` has to be called before."""
         self.successes += 1.0
         self.last_success_at = now
         self.consecutive_failures = 0.0
 
     def record_failure(self, now: float, weight: float) -> None:
-        """A request failed, counted with a weight; the counts are up to date."""
+        """Counts a failure with a weight; `decay` has to be called before."""
         self.failures += weight
         self.last_failure_at = now
         self.consecutive_failures += weight
         if self.consecutive_failures >= DISCARDING_FAILURES:
-            # Without this an endpoint that has just begun to fail would be vouched for by earlier successes.
+            # Without this, an endpoint that has just begun to fail would count as healthy by earlier
+            # successes.
             self.successes = 0.0
 
     def ended_in_success_at(self) -> float:
-        """When the last request ended (s), if it succeeded."""
+        """Returns when the last request ended (s), if it succeeded; otherwise -NEVER_S."""
         return self.last_success_at if self.last_success_at > self.last_failure_at else -NEVER_S
 
 
 class EvidenceQuery:
-    """A query that isn't decided yet; it ends at a moment in seconds."""
+    """A query that is not decided yet; it ends at `ends_at` (s)."""
 
-    def __init__(self, endpoint: int, ends_at: float, asked: list[int]) -> None:
+    def __init__(self, endpoint: int, ends_at: float, queried_peers: list[int]) -> None:
         self.endpoint = endpoint
         self.ends_at = ends_at
-        self.awaited = set(asked)
+        self.awaited = set(queried_peers)
         self.replies: dict[int, PeerEvidence] = {}
 
 
 class OutlierConsensus:
-    """Evidence, queries and decisions of one proxy. Endpoints are numbers, moments in seconds.
+    """Evidence, queries and decisions of one proxy.
 
-    `own_id` is this proxy's number.
+    Endpoints are numbers, points in time are in seconds. `own_id` is this proxy's number.
     """
 
     def __init__(self, own_id: int, incarnation: int, zone: int, rng: Random) -> None:
@@ -242,21 +260,21 @@
         self.zone = zone
         self.chance = rng
         self.listed: frozenset[int] = frozenset()
-        self.large_answer_ids: frozenset[int] = frozenset()  # of these, those for large answers
+        self.large_answer_ids: frozenset[int] = frozenset()  # those of `listed` that are for large answers
         self.evidence: dict[int, Evidence] = {}
         self.totals = (Evidence(), Evidence())  # of all endpoints; of all ids for large answers
-        self.queries: dict[int, EvidenceQuery] = {}  # by number
+        self.queries: dict[int, EvidenceQuery] = {}  # by identifier
         self.last_queried_at: dict[int, float] = {}  # by endpoint
-        self.peer_queries: dict[int, dict[int, float]] = {}  # by endpoint, who asked us about it, and when
+        self.peer_queries: dict[int, dict[int, float]] = {}  # by endpoint and member, when it last queried
         self.decisions: dict[int, EjectionDecision] = {}
         self.new_decisions: list[tuple[int, EjectionDecision]] = []
         self.last_query_id = rng.getrandbits(40)
         self.next_round_at = 0.0
-        self.query_messages_sent = 0  # messages sent for queries
-        self.decisions_made = 0  # decisions
+        self.query_messages_sent = 0
+        self.decisions_made = 0
 
     def set_endpoints(self, endpoints: set[int], large_answer_ids: Iterable[int] = ()) -> None:
-        """Sets the endpoints, and which ids are for large answers; what is known of others is dropped."""
+        """Sets the endpoint ids, and which of them are for large answers; drops the data of all others."""
         self.listed = frozenset(endpoints)
         self.large_answer_ids = frozenset(large_answer_ids)
         tables: tuple[dict[int, Any], ...] = (
@@ -271,8 +289,8 @@
 
     # Evidence
 
-    def record_result(self, now: float, endpoint: int, well: bool, weight: float = 1.0) -> None:
-        """A request of ours has ended, and counts for this endpoint id with this weight."""
+    def record_result(self, now: float, endpoint: int, succeeded: bool, weight: float = 1.0) -> None:
+        """Counts a request of this proxy that has ended, with a weight, as evidence on an endpoint id."""
         evidence = self.evidence.get(endpoint)
         if evidence is None:
             evidence = self.evidence[endpoint] = Evidence()
@@ -281,18 +299,18 @@
         total = self.totals[endpoint in self.large_answer_ids]
         total.decay(now)
         total.requests += weight
-        if well:
+        if succeeded:
             evidence.record_success(now)
         else:
             evidence.record_failure(now, weight)
 
     def recent_results(self, now: float, endpoint: int) -> tuple[float, float]:
-        """Successes and failures at an endpoint lately."""
+        """Returns how many requests lately succeeded and failed at an endpoint."""
         evidence = self.evidence.get(endpoint)
         return evidence.decay(now) if evidence is not None else (0.0, 0.0)
 
     def recent_load(self, now: float, endpoint: int) -> tuple[float, float]:
-        """Requests that ended at an endpoint lately, and at the mean endpoint."""
+        """Returns how many requests lately ended at an endpoint, and at the mean endpoint."""
         is_large = endpoint in self.large_answer_ids
         self.recent_results(now, endpoint)
         total = self.totals[is_large]
@@ -305,7 +323,7 @@
     # Messages
 
     def on_message(self, now: float, message: EvidenceMessage) -> EvidenceMessage | None:
-        """Takes a message; returns the answer to its sender, if any."""
+        """Handles a message; returns the answer to its sender, if any."""
         if message.sender == self.own_id:
             return None
         if message.is_query:
@@ -313,7 +331,8 @@
                 self.peer_queries.setdefault(message.endpoint, {})[message.sender] = now
             return self._make_message(now, False, message.correlation_id, message.endpoint)
         query = self.queries.get(message.correlation_id)
-        # Each member that was asked counts once: neither duplicates nor answers to a former incarnation do.
+        # Each queried member counts once: duplicates and answers to a former incarnation's queries do not
+        # count.
         if query is not None and message.endpoint == query.endpoint and message.sender in query.awaited:
             query.awaited.discard(message.sender)
             query.replies[message.sender] = PeerEvidence(
@@ -329,7 +348,7 @@
     def _make_message(
         self, now: float, is_query: bool, correlation_id: int, endpoint: int
     ) -> EvidenceMessage:
-        """A query or an answer, with our evidence on the endpoint."""
+        """Returns a query or an answer, with this proxy's evidence on the endpoint."""
         successes, failures = self.recent_results(now, endpoint)
         evidence = self.evidence.get(endpoint)
         last_success_at = evidence.ended_in_success_at() if evidence is not None else -NEVER_S
@@ -353,9 +372,9 @@
     def wake(
         self, now: float, reachable: list[int], avoided: set[int]
     ) -> tuple[list[tuple[int, EvidenceMessage]], float]:
-        """Returns the queries to send, with whom to send each to, and when to be called again (s).
+        """Returns the messages to send, each with its receiver, and the time of the next call (s).
 
-        `reachable`: the members that are likely to answer; `avoided`: the endpoints that the router avoids.
+        `reachable` are the members that are likely to answer, `avoided` the endpoints that the router avoids.
         """
         for query_id, query in list(self.queries.items()):
             if now >= query.ends_at or not query.awaited:
@@ -364,12 +383,12 @@
         self.decisions = {
             endpoint: decision for endpoint, decision in self.decisions.items() if decision.expires_at > now
         }
-        out: list[tuple[int, EvidenceMessage]] = []
+        messages: list[tuple[int, EvidenceMessage]] = []
         if now >= self.next_round_at:
             self.next_round_at = now + ROUND_INTERVAL_S * self.chance.uniform(0.9, 1.0)
             for endpoint in self._endpoints_to_query(now, avoided)[:QUERIES_PER_ROUND]:
-                out += self._query(now, endpoint, reachable)
-        return out, min([self.next_round_at, *(query.ends_at for query in self.queries.values())])
+                messages += self._query(now, endpoint, reachable)
+        return messages, min([self.next_round_at, *(query.ends_at for query in self.queries.values())])
 
     def _query(self, now: float, endpoint: int, reachable: list[int]) -> list[tuple[int, EvidenceMessage]]:
         peers = self.chance.sample(reachable, min(PEERS_PER_QUERY, len(reachable)))
@@ -383,34 +402,34 @@
         return [(peer, message) for peer in peers]
 
     def _endpoints_to_query(self, now: float, avoided: set[int]) -> list[int]:
-        """Endpoints to query, those that are suspected here first."""
-        own = []
-        others = []
+        """Returns the endpoints to query, those that this proxy suspects first."""
+        suspected = []
+        asked_about = []
         for endpoint in self.listed:
             if self._is_queried(now, endpoint):
                 continue
             successes, failures = self.recent_results(now, endpoint)
             asking_peers = self._asking_peers(now, endpoint)
             if endpoint in avoided or (failures >= MIN_FAILURES_TO_SUSPECT and failures > successes):
-                own.append(endpoint)
+                suspected.append(endpoint)
             elif asking_peers >= MIN_ASKING_PEERS:
-                others.append(endpoint)
-        self.chance.shuffle(own)
-        self.chance.shuffle(others)
-        return own + others
+                asked_about.append(endpoint)
+        self.chance.shuffle(suspected)
+        self.chance.shuffle(asked_about)
+        return suspected + asked_about
 
     def _is_queried(self, now: float, endpoint: int) -> bool:
-        """Whether a query is out, or was sent too short a time ago."""
+        """Returns whether a query on an endpoint is pending, or the last one is too recent."""
         if now - self.last_queried_at.get(endpoint, -REQUERY_AFTER_S) < REQUERY_AFTER_S:
             return True
         return any(query.endpoint == endpoint for query in self.queries.values())
 
     def _asking_peers(self, now: float, endpoint: int) -> int:
-        """How many others have asked about an endpoint lately."""
-        asking = self.peer_queries.get(endpoint)
-        if not asking:
+        """Returns how many other members have lately queried this proxy about an endpoint."""
+        asked_at_by_peer = self.peer_queries.get(endpoint)
+        if not asked_at_by_peer:
             return 0
-        recent = {peer: asked_at for peer, asked_at in asking.items() if asked_at > now - DECISION_LIFETIME_S}
+        recent = {peer: at for peer, at in asked_at_by_peer.items() if at > now - DECISION_LIFETIME_S}
         self.peer_queries[endpoint] = recent
         return len(recent)
 
@@ -418,15 +437,15 @@
 
     def _decide(self, now: float, query: EvidenceQuery) -> None:
         """Ends a query with a decision."""
-        own = self.recent_results(now, query.endpoint)
+        own_results = self.recent_results(now, query.endpoint)
         votes = self._peer_votes(query)
-        vouching = self._vouching_votes(query, votes)
-        if sum(own) >= MIN_REQUESTS_TO_VOTE:
-            votes[self.own_id] = Vote(self.zone, own[1] > own[0])
+        current = self._current_votes(query, votes)
+        if sum(own_results) >= MIN_REQUESTS_TO_VOTE:
+            votes[self.own_id] = Vote(self.zone, own_results[1] > own_results[0])
         health = self._health(now, query, votes)
-        # With enough evidence of its own, a proxy believes in health only if it has seen it, too.
-        trusts_peers = sum(own) < SUFFICIENT_OWN_REQUESTS or own[0] > own[1]
-        if health is UNDECIDED and trusts_peers and vouching.total >= MIN_VOTES and vouching.most_healthy:
+        # With enough evidence of its own, a proxy decides for healthy only if that evidence agrees.
+        trusts_peers = sum(own_results) < SUFFICIENT_OWN_REQUESTS or own_results[0] > own_results[1]
+        if health is UNDECIDED and trusts_peers and current.total >= MIN_VOTES and current.most_healthy:
             health = HEALTHY
         unhealthy = sorted(voter for voter, vote in votes.items() if vote.is_unhealthy)
         decision = EjectionDecision(
@@ -445,10 +464,11 @@
             if reply.successes + reply.failures >= MIN_REQUESTS_TO_VOTE
         }
 
-    def _vouching_votes(self, query: EvidenceQuery, votes: dict[int, Vote]) -> Tally:
-        """Peers' votes, without those for healthy that rest on what was before our last failure.
+    def _current_votes(self, query: EvidenceQuery, votes: dict[int, Vote]) -> Tally:
+        """Counts the peers' votes, without outdated ones for healthy.
 
-        Without this an endpoint that has just begun to fail would be held to be healthy.
+        A vote for healthy is outdated if the peer's last success is before this proxy's last failure. If such
+        votes counted, an endpoint that has just begun to fail would count as healthy.
         """
         evidence = self.evidence.get(query.endpoint)
         since = evidence.last_failure_at if evidence is not None else -NEVER_S
@@ -459,38 +479,38 @@
         )
 
     def _health(self, now: float, query: EvidenceQuery, votes: dict[int, Vote]) -> EndpointHealth:
-        """What the votes say, but for whether the endpoint is healthy."""
-        everywhere = Tally.of(votes.values())
-        near = Tally.of(vote for vote in votes.values() if vote.zone == self.zone)
-        far = Tally.of(vote for vote in votes.values() if vote.zone != self.zone)
-        both_sides = near.majority_unhealthy_or_none and far.majority_unhealthy_or_none
-        if everywhere.total >= MIN_VOTES and everywhere.most_unhealthy and both_sides:
+        """Returns the result of the votes, except for healthy, which `_decide` checks."""
+        all_votes = Tally.of(votes.values())
+        own_zone = Tally.of(vote for vote in votes.values() if vote.zone == self.zone)
+        other_zones = Tally.of(vote for vote in votes.values() if vote.zone != self.zone)
+        both_sides_agree = own_zone.majority_unhealthy_or_none and other_zones.majority_unhealthy_or_none
+        if all_votes.total >= MIN_VOTES and all_votes.most_unhealthy and both_sides_agree:
             return OVERLOADED if self._is_overloaded(now, query, votes) else UNHEALTHY
-        enough_votes = near.total >= MIN_ZONE_VOTES and far.total >= MIN_VOTES
-        if enough_votes and near.most_unhealthy and far.most_healthy:
+        enough_votes = own_zone.total >= MIN_ZONE_VOTES and other_zones.total >= MIN_VOTES
+        if enough_votes and own_zone.most_unhealthy and other_zones.most_healthy:
             return UNREACHABLE_FROM_ZONE
         return UNDECIDED
 
     def _is_overloaded(self, now: float, query: EvidenceQuery, votes: dict[int, Vote]) -> bool:
-        """Whether an endpoint fails because it is sent too much, and not because it is unhealthy."""
+        """Returns whether an endpoint fails because of too many requests, and not because it is unhealthy."""
         replies = [query.replies[voter] for voter in votes if voter != self.own_id]
         own_requests, own_mean = self.recent_load(now, query.endpoint)
         excess = [own_requests - OVERLOAD_FACTOR * own_mean]
         excess += [
             reply.endpoint_requests - OVERLOAD_FACTOR * reply.mean_endpoint_requests for reply in replies
         ]
-        # The highest and the lowest don't count, so that one proxy that lies decides nothing.
-        is_sent_too_much = sum(sorted(excess)[1:-1]) > 0.0
+        # The highest and the lowest value do not count, so that one proxy that lies decides nothing.
+        exceeds_mean_load = sum(sorted(excess)[1:-1]) > 0.0
         responsive = sum(reply.last_success_at > now - NEVER_S / 2 for reply in replies)
-        return is_sent_too_much and responsive > MIN_RESPONSIVE_FRACTION * len(votes)
+        return exceeds_mean_load and responsive > MIN_RESPONSIVE_FRACTION * len(votes)
 
     def take_new_decisions(self) -> list[tuple[int, EjectionDecision]]:
-        """The decisions made since the last call, with their endpoints; none that are undecided."""
+        """Returns the decisions since the last call, each after its endpoint, without undecided ones."""
         decisions = self.new_decisions
         self.new_decisions = []
         return decisions
 
     @staticmethod
     def may_eject(listed: int, ejected: int) -> bool:
-        """Whether one more endpoint may be ejected on peers' evidence, of so many listed and ejected."""
+        """Returns whether one more endpoint may be ejected on peers' evidence."""
         return ejected < max(1, int(MAX_EJECTED_FRACTION * listed))
--- a/calicofall/fleet/quota_leases.py
+++ b/calicofall/fleet/quota_leases.py
@@ -1,35 +1,39 @@
-"""Limits on a sum over the fleet: each proxy's share of a limit, and leases of shares between proxies.
+"""Quota leases: each proxy's share of a limit over the fleet, and leases of units between proxies.
 
 A limit is divided into UNITS units, whatever it counts; each of N proxies owns UNITS // N of them. A proxy
-that needs more than it owns borrows units from others, which lend a fraction of their own. This is escrow
+that needs more than it owns borrows units from others, which lend a fraction of theirs. This is escrow
 between pairs (O'Neil 1986; bounded counters: Balegas and others 2015), with leases in place of durable
-rights, since proxies forget what they lent when they restart. The module does no I/O: it is handed messages
-and the time, and returns messages and the time of the next call.
+rights, since proxies lose the record of what they lent when they restart. The module performs no I/O: it is
+given messages and the time, and returns messages and the time of the next call.
 
 States of a lease at the borrower: requested -> borrowed (by an answer to a request of this incarnation) ->
-expired (by time). At the owner: lent -> expired (by time). No proxy is in charge of a limit, so none can be
-lost or be there twice.
+expired (by time). At the owner: lent -> expired (by time). There is no coordinator of a limit, so no
+coordinator can fail or exist twice.
 
 Invariants:
 - A unit is used by its owner or by one borrower, never by both, whatever messages are lost, duplicated or
-  late, and whoever is stopped or restarted.
-- A lease runs at the borrower for `lease` from the moment of its request, and at the owner for
-  T = lease (1 + drift)^2 from its answer (see configuration_agreement.py for the assumption on clocks).
-- An owner lends `max_lent_fraction` of its own units at most. So a new incarnation, which has forgotten its
-  leases, uses only the rest for T, and lends nothing meanwhile.
-- A lease is renewed under its own number, and a request that is duplicated or late is answered as before.
-- Nobody revokes a lease: what isn't renewed expires.
+  late, and whichever proxies are stopped or restarted.
+- A lease runs at the borrower for `lease_s` from the moment of its request, and at the owner for
+  T = lease_s (1 + drift)^2 from its answer (see configuration_agreement.py for the assumption on clocks).
+- An owner lends at most `max_lent_fraction` of its own units. A new incarnation, which has no record of its
+  leases, therefore uses only the rest for T, and lends nothing in that time.
+- A lease is renewed under its own identifier, and a duplicate or late request is answered like the first one.
+- Leases are never revoked; one that is not renewed expires.
 
 Bounds:
 
-- over the limit: 0 units; a proxy that is stopped between its check and its use exceeds it for that time
-- unused after a proxy died: what it borrowed, for T at most; an owner waits as long for its own units
-- unused though demanded: 1 - max_lent_fraction of what those own who have no demand, and the margins
-- floor: (1 - max_lent_fraction) of a proxy's own units, whatever others demand; all of them after T alone
-- time to follow demand: (k / max_lent_fraction) / REQUESTS_PER_ROUND * ROUND s for k times its own units,
-  without loss and with idle owners
-- ceiling: 1 + max_lent_fraction * MAX_BORROWED_LEASES times its own units
-- messages: REQUESTS_PER_ROUND requests in ROUND s while units are short, and one for each lease in lease / 2
+- excess over the limit: 0 units; a proxy that is stopped between its check and the use exceeds it for that
+  time
+- unused after a proxy has failed: the units that it borrowed, for at most T, until their owner uses them
+  again
+- unused despite demand: 1 - max_lent_fraction of the units of owners without demand, and the margins
+- guaranteed minimum: (1 - max_lent_fraction) of a proxy's own units, whatever others demand; all of them
+  after T without contact to others
+- time to follow demand: (k / max_lent_fraction) / REQUESTS_PER_ROUND * ROUND_INTERVAL_S for k times a proxy's
+  own units, without message loss and with idle owners
+- maximum: 1 + max_lent_fraction * MAX_BORROWED_LEASES times a proxy's own units
+- messages: REQUESTS_PER_ROUND requests in ROUND_INTERVAL_S while units are short, and one for each lease in
+  lease_s / 2
 """
 
 from collections import Counter
@@ -41,26 +45,33 @@
 
 UNITS = 1 << 20
 MAX_LENT_FRACTION = 0.75
-MAX_LENT_FRACTION_OF_RATES = (
-    0.95  # a low floor costs little: requests over a rate are served while there is capacity
-)
-ROUND_INTERVAL_S = 0.25  # s
+# A low guaranteed minimum costs little: requests over a tenant's rate are served while there is capacity.
+MAX_LENT_FRACTION_OF_RATES = 0.95
+ROUND_INTERVAL_S = 0.25
 REQUESTS_PER_ROUND = 8
 MAX_BORROWED_LEASES = 64  # of one limit
 RESEND_AFTER_S = 0.5
-DECLINED_BACKOFF_S = 2.0  # an owner that had nothing to lend isn't asked again for so long
-DEMAND_MARGIN = 1.25  # times the demand, that a proxy asks for and doesn't lend
+DECLINED_BACKOFF_S = 2.0  # time after which an owner that had no units to lend is asked again
+DEMAND_MARGIN = 1.25  # a proxy borrows up to this multiple of its demand, and does not lend below it
 RATE_DEMAND_MARGIN = 1.05
 MIN_LEASE_UNITS = UNITS // 4096
-MIN_LEASES_OF_OWN_UNITS = 16  # into so many leases, at least, all that a proxy owns can be divided
+MIN_LEASES_OF_OWN_UNITS = 16  # least number of leases into which a proxy's own units can be divided
 
 
 class QuotaLeaseMessage(NamedTuple):
-    """A request for units, or an answer that tells how many are lent.
-
-    Datagrams hold the fields in this order.
-    `mark` is the lease's number, `question` tells the requests for one lease apart (an answer has that of its
-    request), `limit` is the limit's number and `slot` which time slot is lent, where units are time slots.
+    """A request for units, or an answer with the number of units lent.
+
+    It is sent as an array of these fields, in this order.
+
+    Attributes:
+        is_request: whether this is a request.
+        sender: number of the proxy that sends the message.
+        incarnation: the sender's incarnation.
+        correlation_id: identifier of the lease.
+        limit_id: identifier of the limit.
+        units: units requested, or units lent; 0 units lent declines the request.
+        request_number: identifies one of several requests for a lease; its answer repeats it.
+        slot: which of the owner's time slots is lent, if units are time slots.
     """
 
     is_request: bool
@@ -74,7 +85,7 @@
 
 
 class LeaseKey(NamedTuple):
-    """What an owner tells leases apart by."""
+    """The identity of a lease at its owner."""
 
     borrower: int
     incarnation: int
@@ -82,14 +93,14 @@
 
 
 class LentLease(NamedTuple):
-    """A lease at its owner; it expires at a moment in seconds."""
+    """A lease at its owner; it expires at `expires_at` (s)."""
 
     units: int
     expires_at: float
 
 
 class BorrowedLease(NamedTuple):
-    """A lease at its borrower; it expires at a moment in seconds."""
+    """A lease at its borrower; it expires at `expires_at` (s)."""
 
     owner: int
     units: int
@@ -97,7 +108,7 @@
 
 
 class PendingRequest(NamedTuple):
-    """A request that isn't answered yet: of whom, for how many units, when it was sent (s), by its number."""
+    """A request that is not answered yet; `sent_at` holds when it was sent (s), by request number."""
 
     owner: int
     units: int
@@ -107,13 +118,15 @@
 class QuotaLeases:
     """One limit at one proxy.
 
-    `number` is the limit's number and `own_id` this proxy's; `lease` (s) is how long a lease runs and `drift`
-    by which fraction clocks differ at most. Moments are in seconds of the proxy's own clock.
+    `limit_id` identifies the limit, `own_id` is this proxy's number, `lease_s` is the duration of a lease and
+    `drift` the largest relative difference between the rates of two clocks. Points in time are in seconds of
+    the proxy's own clock.
     """
 
     total = UNITS
     min_lease_units = MIN_LEASE_UNITS
-    # With one lease of each owner, a demand that grows by steps would hold a small one of each and no more.
+    # With one lease per owner, a demand that grows in steps would hold one small lease of each and get no
+    # more.
     max_leases_per_owner = 2
     max_lent_fraction = MAX_LENT_FRACTION
     demand_margin = DEMAND_MARGIN
@@ -125,42 +138,45 @@
         incarnation: int,
         proxies: int,
         now: float,
-        lease: float,
+        lease_s: float,
         drift: float,
         rng: Random,
     ) -> None:
         self.limit_id = limit_id
         self.own_id = own_id
         self.incarnation = incarnation
-        self.lease_s = lease
+        self.lease_s = lease_s
         self.rng = rng
         self.own_units = self.total // proxies
-        self.grant_s = grant_duration(lease, drift)
+        self.grant_s = grant_duration(lease_s, drift)
         self.started_at = now
-        # In a fleet of thousands all that a proxy owns is less than the usual smallest lease.
+        # In a fleet of thousands, all units of a proxy are less than MIN_LEASE_UNITS.
         self.min_lease_units = max(1, min(self.min_lease_units, self.own_units // MIN_LEASES_OF_OWN_UNITS))
         self.lent_leases: dict[LeaseKey, LentLease] = {}
-        self.borrowed_leases: dict[int, BorrowedLease] = {}  # by the lease's number
-        self.pending_requests: dict[int, PendingRequest] = {}  # by the lease's number
-        self.declined_at: dict[int, float] = {}  # by owner, when it had nothing to lend
+        self.borrowed_leases: dict[int, BorrowedLease] = {}  # by lease identifier
+        self.pending_requests: dict[int, PendingRequest] = {}  # by lease identifier
+        self.declined_at: dict[int, float] = {}  # by owner, when it had no units to lend
         self.last_lease_id = rng.getrandbits(40)
         self.last_request_number = 0
         self.demand_units = 0  # units that would be used here without a limit
         self.next_round_at = now
-        self.pinned = False  # by an operator: no new leases either way, those that run expire
+        self.pinned = False  # set by an operator: leases are neither granted, requested nor renewed
 
     # Queries
 
     def units_lent(self, now: float) -> int:
-        """Units of our own that others may use; at first all that a former incarnation may have lent."""
+        """Returns the units of this proxy that others may use.
+
+        A new incarnation counts all units that the former one may have lent.
+        """
         self.lent_leases = {key: lease for key, lease in self.lent_leases.items() if lease.expires_at > now}
         lent = sum(lease.units for lease in self.lent_leases.values())
         return max(lent, self.lendable_units) if self._is_new(now) else lent
 
     def usable_units(self, now: float, duration_s: float = 0.0) -> int:
-        """Units that may be used here now; to be called right before each use.
+        """Returns the units that may be used here now; has to be called right before each use.
 
-        For a use that lasts `duration_s` seconds, only leases that run for longer count.
+        For a use that lasts `duration_s` seconds, only leases that run longer count.
         """
         self.borrowed_leases = {
             lease_id: lease for lease_id, lease in self.borrowed_leases.items() if lease.expires_at > now
@@ -169,31 +185,31 @@
             lease.units for lease in self.borrowed_leases.values() if lease.expires_at > now + duration_s
         )
         usable = self.own_units - self.units_lent(now) + borrowed
-        assert usable >= self.own_units - self.lendable_units, "a part is its floor at least"
+        assert usable >= self.own_units - self.lendable_units, "usable units are below the guaranteed minimum"
         return min(self.total, usable)
 
     @property
     def lendable_units(self) -> int:
-        """How many of our own units may be lent at one time."""
+        """How many of this proxy's own units may be lent at one time."""
         return int(self.own_units * self.max_lent_fraction)
 
     @property
     def max_lease_units(self) -> int:
-        """Units in one lease at most."""
+        """The largest number of units in one lease."""
         return self.lendable_units
 
     def set_demand(self, units: int) -> None:
-        """Sets the demand: units that would be used here without a limit."""
+        """Sets the demand: the units that would be used here without a limit."""
         self.demand_units = min(self.total, max(0, units))
 
     def _is_new(self, now: float) -> bool:
-        """Whether leases that a former incarnation has lent may still run."""
+        """Returns whether leases that a former incarnation has granted may still run."""
         return now < self.started_at + self.grant_s
 
     # Messages
 
     def on_message(self, now: float, message: QuotaLeaseMessage) -> QuotaLeaseMessage | None:
-        """Takes a message; returns the answer to its sender, if any."""
+        """Handles a message; returns the answer to its sender, if any."""
         if message.is_request:
             return self._on_request(now, message)
         self._on_answer(now, message)
@@ -215,15 +231,15 @@
 
     def _on_answer(self, now: float, message: QuotaLeaseMessage) -> None:
         request = self.pending_requests.get(message.correlation_id)
-        # Only the request that is answered tells when the lease began. Without this an answer to the first
-        # request that comes late, or twice, would pass for one to a renewal that was lost, and the lease
-        # would run longer here than at its owner.
+        # The lease runs from the very request that is answered. Without this, a late or duplicate answer to
+        # the first request would count as one to a renewal that was lost, and the lease would run longer here
+        # than at its owner.
         if (
             request is None
             or request.owner != message.sender
             or message.request_number not in request.sent_at
         ):
-            return  # to no request of this incarnation, or answered before
+            return  # to no request of this incarnation, or a duplicate
         sent_at = request.sent_at[message.request_number]
         del self.pending_requests[message.correlation_id]
         if message.units < self.min_lease_units:
@@ -239,21 +255,21 @@
         self._on_lease_held(message, is_new)
 
     def _choose_slot(self, message: QuotaLeaseMessage) -> int:
-        """Which time slot is lent by this lease, where units are time slots."""
+        """Returns which time slot a lease is of, if units are time slots."""
         return 0
 
     def _on_lease_held(self, message: QuotaLeaseMessage, is_new: bool) -> None:
-        """A lease is borrowed (`is_new`), or renewed."""
+        """Called when a lease has been borrowed (`is_new`) or renewed."""
 
     def _grant(self, now: float, message: QuotaLeaseMessage) -> int:
-        """How many units are lent for a request."""
+        """Grants or renews a lease; returns the units lent, 0 if the request is declined."""
         key = LeaseKey(message.sender, message.incarnation, message.correlation_id)
         lent = self.units_lent(now)
         spare = self._spare_units(lent)
         lease = self.lent_leases.get(key)
         if lease is not None:
-            # A renewal, or a duplicate: the same units for longer, and never more, since the borrower may not
-            # have had the last answer. Without spare units the lease expires.
+            # A renewal or a duplicate: the same units for longer and never more, since the borrower may not
+            # have received the last answer. If this proxy needs the units itself, the lease expires.
             if spare < 0:
                 return 0
             units = lease.units
@@ -265,7 +281,7 @@
         return min(units, message.units)
 
     def _spare_units(self, lent: int) -> int:
-        """Units that our own demand leaves over, of those that aren't lent; below 0: renew nothing."""
+        """Returns the units that are neither lent nor needed here; below 0, no lease is renewed."""
         if self.pinned:
             return -1
         return self.own_units - lent - min(self.own_units, ceil(self.demand_units * self.demand_margin))
@@ -273,9 +289,9 @@
     # Rounds
 
     def wake(self, now: float, reachable: list[int]) -> tuple[list[tuple[int, QuotaLeaseMessage]], float]:
-        """Returns the requests to send, with whom to send each to, and when to be called again (s).
+        """Returns the requests to send, each with its receiver, and the time of the next call (s).
 
-        `reachable`: the proxies that are likely to answer.
+        `reachable` are the proxies that are likely to answer.
         """
         if now < self.next_round_at:
             return [], self.next_round_at
@@ -284,40 +300,40 @@
         earliest = now - DECLINED_BACKOFF_S
         self.declined_at = {owner: at for owner, at in self.declined_at.items() if at > earliest}
         target = 0 if self.pinned else min(self.total, ceil(self.demand_units * self.demand_margin))
-        out = self._resend(now)
-        out += self._renew(now, usable - target)
-        out += self._borrow(now, min(target - usable, self.total), reachable)
-        return out, self.next_round_at
+        messages = self._resend(now)
+        messages += self._renew(now, usable - target)
+        messages += self._borrow(now, min(target - usable, self.total), reachable)
+        return messages, self.next_round_at
 
     def _resend(self, now: float) -> list[tuple[int, QuotaLeaseMessage]]:
-        """Sends requests again that aren't answered, and gives up those that are too old.
+        """Resends requests that are not answered, and gives up those that are too old.
 
-        Without this one lost datagram would cost a renewal, and with it the lease.
+        Without this, one lost datagram would prevent a renewal, and so end the lease.
         """
-        out = []
+        messages = []
         for lease_id, (owner, units, sent_at) in list(self.pending_requests.items()):
             if now - max(sent_at.values()) < RESEND_AFTER_S:
                 continue
             if now - min(sent_at.values()) < self.lease_s or lease_id in self.borrowed_leases:
-                out.append((owner, self._request(now, lease_id, owner, units)))
+                messages.append((owner, self._request(now, lease_id, owner, units)))
             else:
                 del self.pending_requests[lease_id]
                 self.declined_at[owner] = now
-        return out
+        return messages
 
     def _renew(self, now: float, excess: int) -> list[tuple[int, QuotaLeaseMessage]]:
-        """Renews leases in the second half of their time; `excess` units of them are left to expire."""
-        out = []
+        """Renews leases in the second half of their duration; lets up to `excess` units of them expire."""
+        messages = []
         by_expiry = sorted(self.borrowed_leases.items(), key=lambda item: item[1].expires_at)
         for lease_id, (owner, units, expires_at) in by_expiry:
             if excess >= units:
                 excess -= units
             elif expires_at - now < self.lease_s / 2.0 and lease_id not in self.pending_requests:
-                out.append((owner, self._request(now, lease_id, owner, units)))
-        return out
+                messages.append((owner, self._request(now, lease_id, owner, units)))
+        return messages
 
     def _borrow(self, now: float, missing: int, reachable: list[int]) -> list[tuple[int, QuotaLeaseMessage]]:
-        """Requests new leases for the units that are missing beyond those already requested."""
+        """Requests new leases for the missing units that are not requested yet."""
         missing -= sum(
             request.units
             for lease_id, request in self.pending_requests.items()
@@ -327,18 +343,18 @@
         count = min(REQUESTS_PER_ROUND, MAX_BORROWED_LEASES - len(self.borrowed_leases), len(owners))
         if missing < self.min_lease_units or count <= 0:
             return []
-        out = []
+        messages = []
         for owner in self.rng.sample(owners, count):
             if missing < self.min_lease_units:
                 break
             units = min(missing, self.max_lease_units)
             missing -= units
             self.last_lease_id += 1
-            out.append((owner, self._request(now, self.last_lease_id, owner, units)))
-        return out
+            messages.append((owner, self._request(now, self.last_lease_id, owner, units)))
+        return messages
 
     def _available_owners(self, reachable: list[int]) -> list[int]:
-        """Those that may be asked for one lease more."""
+        """Returns the reachable proxies that may be asked for one more lease."""
         owner_by_lease = {lease_id: lease.owner for lease_id, lease in self.borrowed_leases.items()}
         owner_by_lease |= {lease_id: request.owner for lease_id, request in self.pending_requests.items()}
         leases = Counter(owner_by_lease.values())
@@ -350,26 +366,24 @@
             and peer != self.own_id
         ]
 
-    def _request(self, now: float, correlation_id: int, owner: int, units: int) -> QuotaLeaseMessage:
+    def _request(self, now: float, lease_id: int, owner: int, units: int) -> QuotaLeaseMessage:
         self.last_request_number += 1
-        earlier = (
-            self.pending_requests[correlation_id].sent_at if correlation_id in self.pending_requests else {}
-        )
-        self.pending_requests[correlation_id] = PendingRequest(
+        earlier = self.pending_requests[lease_id].sent_at if lease_id in self.pending_requests else {}
+        self.pending_requests[lease_id] = PendingRequest(
             owner, units, earlier | {self.last_request_number: now}
         )
         return QuotaLeaseMessage(
             True,
             self.own_id,
             self.incarnation,
-            correlation_id,
+            lease_id,
             self.limit_id,
             units,
             self.last_request_number,
         )
 
     def next_change_at(self, now: float) -> float:
-        """When the number of usable units next changes by time alone (s)."""
+        """Returns when the number of usable units next changes by time alone (s)."""
         ends = [lease.expires_at for lease in self.borrowed_leases.values()]
         ends += [lease.expires_at for lease in self.lent_leases.values()]
         if self._is_new(now):
@@ -377,7 +391,7 @@
         return min(ends, default=inf)
 
     def format_line(self, now: float) -> str:
-        """For operators: usable, own and lent parts of the limit, the lenders, the soonest end of a lease."""
+        """Returns the metrics: usable, own and lent fractions of the limit, lenders, next lease expiry."""
         usable = self.usable_units(now)
         owners = sorted({lease.owner for lease in self.borrowed_leases.values()})
         soonest = min((lease.expires_at for lease in self.borrowed_leases.values()), default=now)
@@ -389,7 +403,7 @@
 
 
 class RateQuotaLeases(QuotaLeases):
-    """The rate of a tenant."""
+    """Leases of a tenant's rate."""
 
     max_lent_fraction = MAX_LENT_FRACTION_OF_RATES
     demand_margin = RATE_DEMAND_MARGIN
--- a/calicofall/fleet/settings_compatibility.py
+++ b/calicofall/fleet/settings_compatibility.py
@@ -1,19 +1,19 @@
-"""Two versions of the settings: what they allow together, what differs, and in which steps to change.
+"""Compatibility of two settings versions: what both allow, how they differ, and the steps of a change.
 
-Two proxies contradict each other where one may do what the other's version forbids. Two versions together
-allow the lesser of both (`both`), field by field, as settings_fields.py says. A change that leaves something
-to allow in between is one step: all proxies restrict themselves to both, then to the new version. Where
-nothing would be left (a method bound to zone a, then to zone b alone) the change takes two steps: first both
-zones, then the new one.
+Two proxies contradict each other if one may do what the other's version forbids. Two versions are combined
+(`combine_settings`) field by field: of each field, the more restrictive value holds, as settings_fields.py
+defines. A change takes one step if the combination allows something for every method: all proxies first act
+on the combination, then on the new version. Otherwise (for example, if a method is bound to zone a, and then
+to zone b alone) it takes two steps: first both zones are allowed, then only the new one.
 
-Promises (`keeps`, by method) are what no later version takes away but one that every member has acknowledged,
-since a proxy without its lease goes on by them. A version withdraws a promise; only a later one may break it.
+Promises (`keeps`, by method) hold until a later version withdraws them, which every member has to
+acknowledge, since a proxy without a lease acts on them. Only a version after that one may break the promise.
 
 Invariants:
-    - Nothing that one of two versions forbids is allowed by both together.
-    - Each step of a change leaves every method a place, and breaks no promise of the step before.
+    - The combination of two versions allows nothing that one of them forbids.
+    - Each step of a change leaves a place for every method, and breaks no promise of the step before.
 
-Settings are in the operators' own words and units, as in a settings document, unless said otherwise.
+Settings have the operators' names and units, as in a settings document, unless stated otherwise.
 """
 
 from collections.abc import Iterator
@@ -40,7 +40,7 @@
 
 CLOSED_PLACE = NO_PLACE
 
-# Fields of a method in normalized settings that bind, and their names in the operators' words.
+# By field of a method in normalized settings that binds, its name in a settings document.
 OPERATOR_NAMES = {
     "zones_open": "failureDomainsOnly",
     "kinds_open": "kindsOpen",
@@ -55,10 +55,10 @@
     """A field in which two versions differ.
 
     Attributes:
-        path: where it stands in the settings, such as "methods.read.gain".
-        field: how it binds.
-        old: value in the older version; None where it is absent.
-        new: value in the newer version, likewise.
+        path: path of the field in the settings, such as "methods.read.gain".
+        field: how the field binds.
+        old: value in the older version; None if it is absent.
+        new: value in the newer version; None if it is absent.
     """
 
     path: str
@@ -68,22 +68,22 @@
 
 
 def _by_name(settings: Settings, part: str) -> dict[str, dict[str, Any]]:
-    """The objects of a list in the settings, by their names."""
+    """Returns the objects of a list in the settings, by their names."""
     return {item["name"]: item for item in settings.get(part) or []}
 
 
-# What two versions allow together
+# Combination of two versions
 
 
 def combine_settings(older: Settings, newer: Settings) -> Settings:
-    """The settings that two versions allow together; what does not bind is the newer version's."""
+    """Returns the combination of two versions; fields that do not bind are those of the newer version."""
     combined = dict(newer)
     for part, fields in NAMED_PARTS.items():
-        former = _by_name(older, part)
+        older_by_name = _by_name(older, part)
         combined[part] = [
-            _combine_objects(fields, former[item["name"]], item)
+            _combine_objects(fields, older_by_name[item["name"]], item)
             for item in newer.get(part) or []
-            if item["name"] in former
+            if item["name"] in older_by_name
         ]
     for part, fields in PLAIN_PARTS.items():
         combined[part] = _combine_objects(fields, older.get(part) or {}, newer.get(part) or {})
@@ -102,9 +102,9 @@
 
 
 def combine_methods(older: Method, newer: Method) -> Method:
-    """The method that two versions allow together, for a request taken under the older one.
+    """Returns the combination of a method's two versions, for a request accepted under the older one.
 
-    Both methods are in the words of normalized settings.
+    Both are in the form of normalized settings.
     """
     combined = dict(newer)
     for name, operator_name in OPERATOR_NAMES.items():
@@ -115,10 +115,10 @@
 
 
 def restrict_without_lease(settings: Settings) -> Settings:
-    """What a proxy without a lease may act on: what no later version can forbid, by promises.
+    """Returns the settings for a proxy without a lease: only what no later version may forbid.
 
-    A method that keeps `place` goes on, unless the operators refuse it (`lapsed`); any other is refused. One
-    that does not keep `repeats` is not sent twice.
+    A method that promises `place` is served, unless its settings refuse that (`lapsed`); any other method is
+    refused. Requests of a method that does not promise `repeats` are not sent twice.
     """
     methods = []
     for method in settings.get("methods") or []:
@@ -133,43 +133,43 @@
 
 
 def has_no_place(method: Method) -> bool:
-    """Whether no place is left for a method."""
+    """Returns whether no endpoint is left to which a method may be sent."""
     return any(method.get(name) == [NO_PLACE] for name in PLACE_FIELDS)
 
 
-# What differs
+# Differences
 
 
 def changes(older: Settings, newer: Settings) -> list[Change]:
-    """The fields in which two versions differ."""
+    """Returns the fields in which two versions differ."""
     return list(_differences(older, newer))
 
 
 def contradictions(older: Settings, newer: Settings) -> list[str]:
-    """The paths of binding fields in which two versions differ: one may do there what the other forbids."""
+    """Returns the paths of the binding fields in which two versions differ."""
     return [change.path for change in _differences(older, newer) if change.field.binds]
 
 
 def broken_promises(older: Settings, newer: Settings) -> list[str]:
-    """The promises of a version that the next one would break, each as "methods.NAME: PROMISE"."""
+    """Returns the promises of a version that the next one would break, each as "methods.NAME: PROMISE"."""
     broken = []
-    later = _by_name(newer, "methods")
+    newer_by_name = _by_name(newer, "methods")
     for method in older.get("methods") or []:
         name = method["name"]
         promises = method.get("keeps") or []
-        if name not in later:
+        if name not in newer_by_name:
             broken += [f"methods.{name}: {promise}" for promise in promises]
             continue
         broken += [
             f"methods.{name}: {promise}"
             for promise, fields in PROMISED_FIELDS.items()
-            if promise in promises and _restricts(fields, method, later[name])
+            if promise in promises and _restricts(fields, method, newer_by_name[name])
         ]
     return broken
 
 
 def _restricts(fields: tuple[str, ...], older: Method, newer: Method) -> bool:
-    """Whether the newer method allows less than the older one in one of these fields."""
+    """Returns whether the newer method allows less than the older one in any of these fields."""
     return any(
         combine_values(name, METHOD_FIELDS[name], older.get(name), newer.get(name)) != older.get(name)
         for name in fields
@@ -178,13 +178,17 @@
 
 def _differences(older: Settings, newer: Settings) -> Iterator[Change]:
     for part, fields in NAMED_PARTS.items():
-        former = _by_name(older, part)
-        later = _by_name(newer, part)
-        for name in dict.fromkeys([*former, *later]):
-            if name in former and name in later:
-                yield from _object_differences(f"{part}.{name}.", fields, former[name], later[name])
+        older_by_name = _by_name(older, part)
+        newer_by_name = _by_name(newer, part)
+        for name in dict.fromkeys([*older_by_name, *newer_by_name]):
+            if name in older_by_name and name in newer_by_name:
+                yield from _object_differences(
+                    f"{part}.{name}.", fields, older_by_name[name], newer_by_name[name]
+                )
             else:
-                yield Change(f"{part}.{name}", ADDED_OR_REMOVED, former.get(name), later.get(name))
+                yield Change(
+                    f"{part}.{name}", ADDED_OR_REMOVED, older_by_name.get(name), newer_by_name.get(name)
+                )
     for part, fields in PLAIN_PARTS.items():
         yield from _object_differences(f"{part}.", fields, older.get(part) or {}, newer.get(part) or {})
     top_level = sorted({*TOP_LEVEL_FIELDS, *older, *newer} - set(NAMED_PARTS) - set(PLAIN_PARTS))
@@ -208,9 +212,9 @@
 
 
 def publication_steps(current: Settings, target: Settings) -> list[Settings]:
-    """The settings to publish one after the other, `target` last.
+    """Returns the settings to publish one after the other, `target` last.
 
-    Each step is free of contradiction, and leaves every method a place.
+    No step breaks a promise of the one before, or leaves a method without a place while proxies act on both.
     """
     steps: list[Settings] = []
     broken = broken_promises(current, target)
@@ -227,7 +231,7 @@
 
 
 def _withdraw_promises(current: Settings, target: Settings, broken: list[str]) -> Settings:
-    """The current settings without the promises that the target does not make, or would break."""
+    """Returns the current settings without the promises that the target does not make or would break."""
     promised_by_target = {method["name"]: method.get("keeps") or [] for method in target.get("methods") or []}
     methods = []
     for method in current["methods"]:
@@ -242,7 +246,7 @@
 
 
 def _widen_methods(current: Settings, target: Settings, names: set[str]) -> Settings:
-    """The current settings, with the places of the target added to the methods of these names."""
+    """Returns the current settings with the target's places added to the methods of these names."""
     targets = _by_name(target, "methods")
     return current | {
         "methods": [
@@ -253,7 +257,7 @@
 
 
 def _widen_method(method: Method, target: Method) -> Method:
-    """The method with the places of both."""
+    """Returns the method with the places of both versions."""
     widened = dict(method)
     for name in PLACE_FIELDS:
         present = method.get(name)
--- a/calicofall/fleet/settings_document.py
+++ b/calicofall/fleet/settings_document.py
@@ -1,15 +1,15 @@
-"""A settings document: its form, its digest, and whether it may follow another.
+"""Settings documents: format, digest, and checks whether one may follow another.
 
     {"version": 7, "after": 6, "note": "...", "fleet": "east", "members": [0, 1, 2], "keepers": [0, 1, 2],
      "lease": {"s": 3.0, "drift": 0.01, "pauseS": 0.5}, "settings": {...}, "digest": "..."}
 
-`settings` holds what is common to all proxies; `me` and `zone` are each proxy's own. `keepers` are the voters
-of configuration_agreement.py. With `"trial": {"members": [0, 1], "s": 10.0, "worse": 0.05}` a document is no
-version, but one to be tried (canary.py).
+`settings` contains the settings that all proxies have in common; `me` and `zone` are set at each proxy.
+`keepers` are the voters of configuration_agreement.py. A document with
+`"trial": {"members": [0, 1], "s": 10.0, "worse": 0.05}` is not a version, but a canary (canary.py).
 
 Invariants:
-    - A document whose digest does not match is not taken.
-    - A document that a proxy could not act on is not taken; the error is one line that names the field.
+    - A document whose digest does not match is rejected.
+    - A document that a proxy could not act on is rejected with an error of one line that names the field.
 """
 
 from dataclasses import dataclass
@@ -24,8 +24,8 @@
 from calicofall.fleet.configuration_agreement import ConfigurationVersion, grant_duration
 from calicofall.fleet.settings_fields import EFFECTS, PROMISES, Binding
 
-PER_PROXY_SETTINGS = ("me", "zone")  # of the settings, what each proxy has for itself
-DEFAULT_VOTER_COUNT = 25  # where no voters are named, the first so many members
+PER_PROXY_SETTINGS = ("me", "zone")  # settings that differ between proxies and are not in a document
+DEFAULT_VOTER_COUNT = 25  # number of members, the first of the list, that are voters if none are named
 MAX_DOCUMENT_BYTES = 1 << 20
 DIGEST_BYTES = 16
 DOCUMENT_FIELDS = {
@@ -41,7 +41,7 @@
     "trial",
 }
 CANARY_FIELDS = {"members", "s", "worse"}
-WITHOUT_LEASE = (None, "go on", "refuse")  # values of a method's `lapsed`
+LAPSED_VALUES = (None, "go on", "refuse")  # values of a method's `lapsed`
 MAX_DURATION_S = 3600.0
 
 
@@ -50,47 +50,49 @@
     """A field with a number.
 
     Attributes:
-        name: its name in the document.
-        default: value where it is absent.
-        least: the least value.
-        most: the greatest value.
-        expected: what an error says of it.
-        above_least: whether the least value itself is too small.
+        name: name of the field in the document.
+        default: value if the field is absent.
+        minimum: the lowest value.
+        maximum: the highest value.
+        expected: description of a valid value, for error messages.
+        exclusive_minimum: whether the lowest value itself is invalid.
     """
 
     name: str
     default: float
-    least: float
-    most: float
+    minimum: float
+    maximum: float
     expected: str
-    above_least: bool = False
+    exclusive_minimum: bool = False
 
     def accepts(self, data: dict[str, Any]) -> bool:
-        """Whether the field is absent, or a number within the bounds."""
+        """Returns whether the field is absent, or a number within the bounds."""
         value: object = data.get(self.name, self.default)
         if isinstance(value, bool) or not isinstance(value, int | float):
             return False
-        if self.above_least and value == self.least:
+        if self.exclusive_minimum and value == self.minimum:
             return False
-        return self.least <= value <= self.most
+        return self.minimum <= value <= self.maximum
 
     def read(self, data: dict[str, Any]) -> float:
-        """The number, where `accepts` is true."""
+        """Returns the number; `accepts` has to be true for the data."""
         return float(data.get(self.name, self.default))
 
 
 LEASE_S = NumberField("s", 3.0, 0.5, MAX_DURATION_S, "seconds from 0.5")
 LEASE_DRIFT = NumberField("drift", 0.01, 0.0, 0.5, "a number from 0")
 LEASE_PAUSE_S = NumberField("pauseS", 0.5, 0.0, MAX_DURATION_S, "a number from 0")
-CANARY_DURATION_S = NumberField("s", 10.0, 0.0, MAX_DURATION_S, "a number over 0, to 3600,", above_least=True)
-CANARY_INCREASE = NumberField("worse", 0.05, 0.0, 1.0, "a number over 0, to 1,", above_least=True)
+CANARY_DURATION_S = NumberField(
+    "s", 10.0, 0.0, MAX_DURATION_S, "a number over 0, to 3600,", exclusive_minimum=True
+)
+CANARY_INCREASE = NumberField("worse", 0.05, 0.0, 1.0, "a number over 0, to 1,", exclusive_minimum=True)
 
 # Raises KeyError with the first of these names that a normalized method lacks.
 _required_of_method = itemgetter("name", "repeats", "window", "soft_deadline", "hard_deadline")
 
 
 class InvalidDocument(Exception):  # noqa: N818 - other parts use this name
-    """What is wrong with a document, in one line.
+    """A document is invalid; the message is one line.
 
     Attributes:
         line: line of the document's text, from 1.
@@ -102,15 +104,15 @@
 
 
 class UnreadableDocumentError(InvalidDocument):
-    """A text that is no document at all."""
+    """A text is not a document at all: it is too long, not JSON or not an object."""
 
 
 class InvalidFieldError(InvalidDocument):
-    """A field of a document that is wrong.
+    """A field of a document is invalid.
 
     Attributes:
         field: path of the field, such as "lease.s".
-        expected: what would be right.
+        expected: description of a valid value.
     """
 
     def __init__(self, line: int, field: str, expected: str) -> None:
@@ -123,9 +125,9 @@
     """How a version is tried before it is published.
 
     Attributes:
-        members: the proxies that try it.
-        span: for how long (s).
-        worse: by how much the part of requests that are not completed may grow.
+        members: numbers of the proxies that try the version.
+        duration_s: how long they try it.
+        max_increase: the tolerated increase of a method's fraction of requests that are not completed.
     """
 
     members: tuple[int, ...]
@@ -134,21 +136,21 @@
 
 
 class SettingsDocument(NamedTuple):
-    """A document that was checked.
+    """A document that has been checked.
 
     Attributes:
-        version: its number, from 1.
-        after: the version that it follows; 0 for the first.
-        note: the operators' remark.
+        version: number of the version, from 1.
+        previous: the version that this one follows; 0 for the first.
+        note: a remark of the operators.
         fleet: name of the fleet.
         members: numbers of the proxies that belong to the fleet.
-        keepers: the voters among them.
-        lease: duration of a lease (s).
-        drift: part by which two clocks may differ in the length of a span.
-        pause: the longest that a process can be stopped, unnoticed, before a send (s).
-        settings: what is common to all proxies, as operators write it.
-        digest: of all the rest.
-        trial: how it is tried; None for a version.
+        voters: the members that are voters.
+        lease_s: duration of a lease.
+        drift: largest relative difference between the rates of two clocks.
+        pause_s: the longest time for which a process can be stopped, without noticing, before a send.
+        settings: the settings that all proxies have in common, in the operators' form.
+        digest: digest of all other fields.
+        canary: how the version is tried; None if the document is a version.
     """
 
     version: int
@@ -166,18 +168,18 @@
 
     @property
     def configuration_version(self) -> ConfigurationVersion:
-        """What configuration agreement needs of it."""
+        """The fields that configuration agreement needs."""
         return ConfigurationVersion(
             self.version, frozenset(self.members), frozenset(self.voters), self.previous
         )
 
     @property
     def supersession_bound_s(self) -> float:
-        """The time (s) after which nobody acts on this version alone, once a majority holds a newer one."""
+        """The longest time for which a proxy acts on this version alone once a majority holds a newer one."""
         return grant_duration(self.lease_s, self.drift) + self.pause_s
 
     def to_json(self) -> dict[str, Any]:
-        """The document as it is written, without its digest and without what concerns a canary."""
+        """Returns the document in its JSON form, without `digest` and `trial`."""
         return {
             "version": self.version,
             "after": self.previous,
@@ -194,26 +196,26 @@
 
 
 def document_digest(data: dict[str, Any]) -> str:
-    """Digest over all but the digest itself, whatever the order of names."""
+    """Returns the digest of all fields but `digest` itself, which does not depend on the order of names."""
     content = {name: value for name, value in data.items() if name != "digest"}
     body = orjson.dumps(content, option=orjson.OPT_SORT_KEYS)
     return blake2b(body, digest_size=DIGEST_BYTES).hexdigest()
 
 
 def seal_document(data: dict[str, Any]) -> dict[str, Any]:
-    """The document with its digest."""
+    """Returns the document with its digest."""
     return data | {"digest": document_digest(data)}
 
 
 def parse_document(text: str | bytes, sealed_only: bool = True) -> SettingsDocument:
-    """Reads a document and checks it.
+    """Reads and checks a document.
 
     Args:
         text: the document as JSON.
-        sealed_only: whether its digest has to match.
+        sealed_only: whether the document's digest has to match.
 
     Raises:
-        InvalidDocument: in one line, which names the line of the text and the field.
+        InvalidDocument: the document is invalid; the message names the line of the text and the field.
     """
     if isinstance(text, bytes):
         text = text.decode(errors="replace")
@@ -221,7 +223,7 @@
 
 
 class _DocumentReader:
-    """Reads one document; a text with several faults is refused for the first, in the order of `read`."""
+    """Reads one document; a text with several errors is rejected for the first, in the order of `read`."""
 
     def __init__(self, text: str) -> None:
         self.text = text
@@ -256,11 +258,11 @@
 
     def _load(self) -> dict[str, Any]:
         if len(self.text) > MAX_DOCUMENT_BYTES:
-            raise UnreadableDocumentError(1, f"over {MAX_DOCUMENT_BYTES} bytes")
+            raise UnreadableDocumentError(1, f"the document is longer than {MAX_DOCUMENT_BYTES} bytes")
         try:
             data = orjson.loads(self.text)
         except orjson.JSONDecodeError as error:
-            raise UnreadableDocumentError(error.lineno, f"no JSON: {error.msg}") from error
+            raise UnreadableDocumentError(error.lineno, f"invalid JSON: {error.msg}") from error
         if not isinstance(data, dict):
             raise UnreadableDocumentError(1, "the document: an object would be right")
         return data
@@ -277,10 +279,10 @@
             self._fail(unknown[0], f"one of {', '.join(sorted(DOCUMENT_FIELDS))}")
 
     def _check_versions(self) -> None:
-        for name, least in (("version", 1), ("after", 0)):
+        for name, minimum in (("version", 1), ("after", 0)):
             value = self.data.get(name)
-            if type(value) is not int or value < least:
-                self._fail(name, f"a whole number from {least}")
+            if type(value) is not int or value < minimum:
+                self._fail(name, f"a whole number from {minimum}")
         if self.data["after"] >= self.data["version"]:
             self._fail("after", "the version before it")
 
@@ -341,8 +343,8 @@
             if name in settings:
                 self._fail(f"settings.{name}", "nothing here: it is each proxy's own")
         self._check_settings(settings)
-        for number, method in enumerate(settings["methods"]):
-            self._check_method(f"settings.methods[{number}]", method)
+        for index, method in enumerate(settings["methods"]):
+            self._check_method(f"settings.methods[{index}]", method)
         return settings
 
     def _check_settings(self, settings: dict[str, Any]) -> None:
@@ -356,25 +358,26 @@
         except KeyError as error:
             raise self._error(f"settings.{error.args[0]}", "a value") from error
         except (ValueError, TypeError, AttributeError) as error:
-            # What the checks of the configuration raise reads "PATH is VALUE: EXPECTED would be right".
+            # Errors of `validate_settings` and `normalize_settings` have the form
+            # "PATH is VALUE: EXPECTED would be right".
             path, _, rest = str(error).partition(" is ")
             expected = rest.partition(": ")[2].removesuffix(" would be right")
             field = path if path.startswith("settings") else "settings"
             raise self._error(field, expected or "another") from error
 
     def _check_method(self, path: str, method: dict[str, Any]) -> None:
-        """Checks the fields of a method that concern agreement."""
+        """Checks the fields of a method that affect agreement."""
         promises = method.get("keeps") or []
         if not isinstance(promises, list) or any(promise not in PROMISES for promise in promises):
             self._fail(f"{path}.keeps", "a list of " + " and ".join(PROMISES))
-        if method.get("lapsed") not in WITHOUT_LEASE:
+        if method.get("lapsed") not in LAPSED_VALUES:
             self._fail(f"{path}.lapsed", "go on or refuse")
         if method.get("effect") not in EFFECTS:
             self._fail(f"{path}.effect", "one of " + ", ".join(EFFECTS))
 
 
 def _line_of(text: str, path: str) -> int:
-    """The line of a field in the text, by the last name of its path; 1 if it is not there."""
+    """Returns the line of a field in the text, found by the last name of its path; 1 if it is not found."""
     name = path.rpartition(".")[2].partition("[")[0]
     position = text.find(f'"{name}"')
     return text.count("\n", 0, position) + 1 if position >= 0 else 1
@@ -383,41 +386,41 @@
 # Succession
 
 
-def succession_errors(before: SettingsDocument, after: SettingsDocument) -> list[str]:
-    """Why a document cannot follow another, in one line each; empty if it can."""
-    return [*_header_errors(before, after), *_settings_errors(before.settings, after.settings)]
+def succession_errors(older: SettingsDocument, newer: SettingsDocument) -> list[str]:
+    """Returns the reasons why a document cannot follow another, one line each; empty if it can."""
+    return [*_header_errors(older, newer), *_settings_errors(older.settings, newer.settings)]
 
 
-def _header_errors(before: SettingsDocument, after: SettingsDocument) -> list[str]:
+def _header_errors(older: SettingsDocument, newer: SettingsDocument) -> list[str]:
     errors = []
-    if after.previous != before.version:
-        errors.append(f"after: {after.previous} is not the version in force, {before.version}")
-    if after.version <= before.version:
-        errors.append(f"version: {after.version} is not over {before.version}")
-    if after.fleet != before.fleet:
-        errors.append(f"fleet: {after.fleet!r} is not {before.fleet!r}")
-    if len(set(before.members) ^ set(after.members)) > 1:
+    if newer.previous != older.version:
+        errors.append(f"after: {newer.previous} is not the version in force, {older.version}")
+    if newer.version <= older.version:
+        errors.append(f"version: {newer.version} is not over {older.version}")
+    if newer.fleet != older.fleet:
+        errors.append(f"fleet: {newer.fleet!r} is not {older.fleet!r}")
+    if len(set(older.members) ^ set(newer.members)) > 1:
         errors.append("members: one at a time may come or go")
-    if len(set(before.voters) ^ set(after.voters)) > 2:
+    if len(set(older.voters) ^ set(newer.voters)) > 2:
         errors.append("keepers: one at a time may be exchanged")
-    if (after.lease_s, after.drift, after.pause_s) != (before.lease_s, before.drift, before.pause_s):
+    if (newer.lease_s, newer.drift, newer.pause_s) != (older.lease_s, older.drift, older.pause_s):
         errors.append("lease: takes a restart of all")
     return errors
 
 
-def _settings_errors(before: dict[str, Any], after: dict[str, Any]) -> list[str]:
+def _settings_errors(older: dict[str, Any], newer: dict[str, Any]) -> list[str]:
     errors = [
         f"{change.path}: takes a restart"
-        for change in settings_compatibility.changes(before, after)
+        for change in settings_compatibility.changes(older, newer)
         if change.field.binding is Binding.FIXED
     ]
     errors += [
         f"{path}: is promised; withdraw it from keeps in a version before"
-        for path in settings_compatibility.broken_promises(before, after)
+        for path in settings_compatibility.broken_promises(older, newer)
     ]
     errors += [
         f"methods.{method['name']}: nothing would be left in between: widen its places in a version before"
-        for method in settings_compatibility.combine_settings(before, after)["methods"]
+        for method in settings_compatibility.combine_settings(older, newer)["methods"]
         if settings_compatibility.has_no_place(method)
     ]
     return errors
--- a/calicofall/fleet/settings_fields.py
+++ b/calicofall/fleet/settings_fields.py
@@ -1,24 +1,25 @@
-"""The table of the settings' fields: which bind, and what two versions allow together of each.
+"""Table of the fields of the settings: which of them bind, and how two values of a field are combined.
 
-A field binds if one proxy must not do what another proxy's version forbids there. Every binding field has an
-order, from what allows more to what allows less, and two versions together allow the lesser of both.
+A field binds if a proxy must not do what another proxy's version of the field forbids. The values of every
+binding field are ordered from the most to the least permissive, and two versions are combined to the more
+restrictive value.
 
 Invariants:
-    - A field that another proxy relies on is not listed as `NOT_BINDING`.
-    - What two values allow together, each of them allows.
+    - A field that another proxy relies on is not `NOT_BINDING`.
+    - The combination of two values allows nothing that one of them forbids.
 """
 
 from collections.abc import Callable, Mapping
 from enum import StrEnum
 from typing import Any, NamedTuple
 
-NO_PLACE = "\0nowhere"  # as a kind of cache: one that no cache has
-EFFECTS = ("pure", "token", "side_effect")  # from what may run again most to least
-GROUPS = ("all", "zone", "cell")  # where a deduplicated write may run again, from most to least
-NORMALIZED_EFFECTS = ("retriable", "deduped", "non-retriable")  # EFFECTS in the words of normalized settings
-PLACE_FIELDS = ("kindsOpen", "failureDomainsOnly")  # by which a method is restricted to some endpoints
+NO_PLACE = "\0nowhere"  # a kind of cache, or a zone, that no endpoint has
+EFFECTS = ("pure", "token", "side_effect")  # effects of a method, from the most to the least repeatable
+GROUPS = ("all", "zone", "cell")  # where a deduplicated write may be repeated, from most to least permissive
+NORMALIZED_EFFECTS = ("retriable", "deduped", "non-retriable")  # EFFECTS in normalized settings
+PLACE_FIELDS = ("kindsOpen", "failureDomainsOnly")  # fields that restrict a method to some endpoints
 
-# What `keeps` may promise of a method, and the fields that a later version must not restrict then.
+# By promise that `keeps` may contain, the fields that a later version must not restrict then.
 PROMISED_FIELDS = {
     "place": PLACE_FIELDS,
     "repeats": ("effect", "group", "windowNs"),
@@ -27,14 +28,14 @@
 
 
 class Binding(StrEnum):
-    """How a field binds, and so what two versions allow together of it."""
+    """How a field binds, which determines how two values of it are combined."""
 
-    INTERSECTION = "only"  # a list of what is allowed: what is in both
-    STRICTER = "order"  # one of a few words: the one that allows less
+    INTERSECTION = "only"  # a list of allowed items: the items in both lists
+    STRICTER = "order"  # one of a few words: the more restrictive one
     MINIMUM = "least"
     MAXIMUM = "most"
-    BOTH_ON = "off"  # on only where both versions say so
-    NOT_BINDING = "loose"  # the newer version's
+    BOTH_ON = "off"  # on only if it is on in both versions
+    NOT_BINDING = "loose"  # the value of the newer version
     FIXED = "fixed"  # cannot change without a restart
 
 
@@ -42,8 +43,8 @@
     """How a field binds.
 
     Attributes:
-        binding: how two values of it are combined.
-        explanation: what that means for a change, in the operators' words.
+        binding: how two values of the field are combined.
+        explanation: what that means for a change, as shown to operators.
     """
 
     binding: Binding
@@ -51,7 +52,7 @@
 
     @property
     def binds(self) -> bool:
-        """Whether two versions that differ in it contradict each other."""
+        """Whether two versions that differ in the field contradict each other."""
         return self.binding not in (Binding.NOT_BINDING, Binding.FIXED)
 
 
@@ -111,11 +112,11 @@
     for name in ("balancers", "me", "kinds", "failureDomains", "zone", "discovery", "domain", "stats")
 } | {name: NOT_BINDING for name in ("overageGain", "blend", "costs", "pins")}
 
-# The parts of the settings that have tables of their own.
+# Parts of the settings with tables of their own.
 NAMED_PARTS = {"methods": METHOD_FIELDS, "realms": TENANT_FIELDS}  # lists of objects with a name
 PLAIN_PARTS = {"caps": CAP_FIELDS, "rules": RULE_FIELDS}  # objects
 
-ORDERS = {"effect": EFFECTS, "group": GROUPS, "repeats": NORMALIZED_EFFECTS}  # of words, by field
+ORDERS = {"effect": EFFECTS, "group": GROUPS, "repeats": NORMALIZED_EFFECTS}  # by field, words in order
 
 
 def _intersection(name: str, older: list[Any], newer: list[Any]) -> list[Any]:
@@ -136,13 +137,13 @@
 
 
 def combine_values(name: str, field: Field, older: Any, newer: Any) -> Any:
-    """What two values of a field allow together.
+    """Returns the combination of two values of a field.
 
     Args:
-        name: the field's name, in the operators' words or those of normalized settings.
-        field: how it binds.
-        older: value in the older version; None where it is absent, which allows most.
-        newer: value in the newer version, likewise.
+        name: name of the field in a settings document or in normalized settings.
+        field: how the field binds.
+        older: value in the older version; None if it is absent, which is most permissive.
+        newer: value in the newer version; None if it is absent, which is most permissive.
     """
     if older == newer:
         return older
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -53,7 +53,7 @@
         peer = self.peers.get(message.sender)
         if peer is not None:
             message = message._replace(
-                life=peer.incarnation, highest_held=max(message.highest_held, peer.highest_held)
+                incarnation=peer.incarnation, highest_held=max(message.highest_held, peer.highest_held)
             )
         return super().on_response(now, message)
 
@@ -179,7 +179,7 @@
             AgreementMessage(
                 is_request=True,
                 sender=0,
-                life=0,
+                incarnation=0,
                 correlation_id=4711 + peer,
                 highest_known=1,
                 highest_held=1,
--- a/tests/test_rate_slots.py
+++ b/tests/test_rate_slots.py
@@ -30,7 +30,7 @@
 class UsesLentSlots(RateSlots):
     """An owner uses slots that it has lent."""
 
-    def owned_slots(self, now: float) -> list:
+    def usable_slots(self, now: float) -> list:
         self.usable_units(now)
         return [
             *((self.own_id, slot) for slot in range(SLOTS_PER_PROXY)),
@@ -181,16 +181,16 @@
         turns.on_message(
             4.1, QuotaLeaseMessage(False, whom, 9, asked.correlation_id, 0, 1, asked.request_number, which)
         )
-        assert len(turns.owned_slots(4.1)) == SLOTS_PER_PROXY
+        assert len(turns.usable_slots(4.1)) == SLOTS_PER_PROXY
         turns.pending_requests[asked.correlation_id] = PendingRequest(whom, 1, {asked.request_number: 4.0})
     turns.on_message(
         4.1, QuotaLeaseMessage(False, whom, 9, asked.correlation_id, 0, 1, asked.request_number, 2)
     )
-    assert (whom, 2) in turns.owned_slots(4.1)
+    assert (whom, 2) in turns.usable_slots(4.1)
     lender = RateSlots(0, 1, 6, 4, 0.0, 3.0, 0.01, Random(1))
     lent = [lender.on_message(4.0, QuotaLeaseMessage(True, 0, 5, mark, 0, 3)) for mark in range(5)]
     assert [(word.units, word.slot) for word in lent] == [(1, 1), (1, 2), (1, 3), (0, 0), (0, 0)]
-    assert lender.owned_slots(4.0) == {(1, 0)}
+    assert lender.usable_slots(4.0) == {(1, 0)}
 
 
 def test_origin_slots_not_used_expire_and_fleet_stays_within_rate() -> None:
