--- a/calicofall/fleet/hot_keys.py
+++ b/calicofall/fleet/hot_keys.py
@@ -151,9 +151,8 @@
     def _own_count(self, now: float, key: int) -> KeyCount:
         counted_ms = max(1, round(1000.0 * (now - self.windows_started_at[1])))
         if now > self.windows_started_at[0] + 2.0 * COUNTING_WINDOW_S:
-            return KeyCount(
-                0, counted_ms
-            )  # only a request starts a new window; without any, counts are outdated
+            # Only a request starts a new window, so without any the counts are too old.
+            return KeyCount(0, counted_ms)
         return KeyCount(self.count(key), counted_ms)
 
     # Messages
--- a/calicofall/fleet/in_flight_quota.py
+++ b/calicofall/fleet/in_flight_quota.py
@@ -83,7 +83,7 @@
     def demand(self, now: float) -> float:
         """Returns how many requests would be in flight at the busiest endpoint without a limit.
 
-        If some were refused lately, this is an estimate: more than twice the mean number in flight.
+        If some were refused recently, this is an estimate: more than twice the mean number in flight.
         """
         usages = [self._usage(now, name) for name in self.endpoints]
         return max((self._endpoint_demand(now, usage) for usage in usages), default=0.0)
--- a/calicofall/fleet/membership.py
+++ b/calicofall/fleet/membership.py
@@ -48,9 +48,7 @@
 SUSPICION_TIMEOUT_S = 5.0  # shortest time between SUSPECTED and AWAY
 MIN_FAILED_ROUNDS = 3
 CONFIRMING_PEERS = 2
-RECENT_ANSWER_S = (
-    3.0  # a member that answered a probe sent within this time is not probed for a peer's suspicion
-)
+RECENT_ANSWER_S = 3.0  # a member that answered a probe within this time is not probed for a peer's suspicion
 MAX_ROUND_LATENESS_S = 0.3  # a round that ends later than this is void
 PROBE_LIFETIME_S = 10.0  # answers to older probes are ignored, and older suspicions do not count
 ISOLATION_ROUNDS = 3.0  # after this many rounds without any answer, this proxy considers itself isolated
@@ -147,9 +145,8 @@
         self.reached_via: int | None = None  # the member that reached it when this proxy's probe did not
         self.suspected_since: float | None = None
         self.failed_rounds = 0  # rounds without an answer since the suspicion began
-        self.suspecting_peers: dict[
-            int, float
-        ] = {}  # peers that suspect this incarnation, and when they said so
+        # By peer that suspects this incarnation, when its suspicion arrived.
+        self.suspecting_peers: dict[int, float] = {}
         self.away_since: float | None = None
 
     @property
@@ -252,7 +249,7 @@
         return [member for member, peer in self.peers.items() if peer.state is MemberState.ALIVE]
 
     def is_isolated(self, now: float) -> bool:
-        """Returns whether no member has answered lately, so that this proxy itself is probably cut off."""
+        """Returns whether no member has answered recently, so that this proxy itself is probably cut off."""
         return now - self.last_contact_at > ISOLATION_ROUNDS * ROUND_INTERVAL_S
 
     # Messages
@@ -271,7 +268,7 @@
         return self._on_answer(message)
 
     def _on_probe(self, message: MembershipProbe, sender: PeerState) -> list[tuple[int, MembershipProbe]]:
-        # A probe may be a duplicate of an old one, so it is no evidence; it only causes a probe of its
+        # A probe may be a duplicate of an old one, so it is no evidence and only causes a probe of its
         # sender.
         is_new = not sender.knows_incarnation(message.incarnation)
         if is_new or sender.suspected_since is not None or sender.away_since is not None:
@@ -342,7 +339,7 @@
         self._queue_suspicion(*suspicion)
         if incarnation == peer.incarnation:
             peer.suspecting_peers = peer.current_suspecting_peers(now) | {suspected_by: now}
-        # A member that has answered lately is not probed: otherwise a suspicion would make the whole fleet
+        # A member that has answered recently is not probed: otherwise a suspicion would make the whole fleet
         # probe it at once, and where links lose datagrams some of these probes would fail and cause new
         # suspicions without end. An incarnation that has not answered this proxy yet is probed, too.
         is_stale = peer.last_answered_at < now - RECENT_ANSWER_S or incarnation != peer.incarnation
--- a/calicofall/fleet/outlier_consensus.py
+++ b/calicofall/fleet/outlier_consensus.py
@@ -4,11 +4,11 @@
 own decision. The decision is a hint to the router: a wrong one costs quality of service, never correctness.
 The module performs no I/O.
 
-Evidence on an endpoint is the number of requests that lately succeeded and failed there; both counts halve in
-HALF_LIFE_S. Failures are: no connection, a reset, an invalid answer, a timeout, or an answer that took longer
-than SLOW_FACTOR times the baseline latency. Large answers and rejections for lack of capacity are no evidence
-on an endpoint's health. Large answers are evidence on a separate endpoint id (see large_answers.py): an
-endpoint that is unhealthy by this id only is slow for large answers only. A missing answer counts for both
+Evidence on an endpoint is the number of requests that recently succeeded and failed there; both counts halve
+in HALF_LIFE_S. Failures are: no connection, a reset, an invalid answer, a timeout, or an answer that took
+longer than SLOW_FACTOR times the baseline latency. Large answers and rejections for lack of capacity are no
+evidence on an endpoint's health. Large answers are evidence on a separate endpoint id (see large_answers.py):
+an endpoint that is unhealthy by this id only is slow for large answers only. A missing answer counts for both
 ids, weighted with the probability that it would have been large.
 
 Steps of a query: an endpoint is suspected (the router avoids it, or at least MIN_FAILURES_TO_SUSPECT requests
@@ -110,11 +110,11 @@
         correlation_id: identifier of the query, which its answers repeat.
         endpoint: id of the endpoint.
         zone: digest of the sender's zone.
-        successes: requests that lately succeeded at the endpoint.
-        failures: requests that lately failed there.
+        successes: requests that recently succeeded at the endpoint.
+        failures: requests that recently failed there.
         last_success_age_ms: time since the last request ended there, if it succeeded; otherwise NEVER_S.
-        endpoint_requests: requests that lately ended there.
-        mean_endpoint_requests: requests that lately ended at the mean endpoint.
+        endpoint_requests: requests that recently ended there.
+        mean_endpoint_requests: requests that recently ended at the mean endpoint.
     """
 
     is_query: bool
@@ -187,7 +187,7 @@
 
 
 class Evidence:
-    """Requests that lately ended at an endpoint, as decaying counts; points in time are in seconds."""
+    """Requests that recently ended at an endpoint, as decaying counts; points in time are in seconds."""
 
     __slots__ = (
         "successes",
@@ -305,12 +305,12 @@
             evidence.record_failure(now, weight)
 
     def recent_results(self, now: float, endpoint: int) -> tuple[float, float]:
-        """Returns how many requests lately succeeded and failed at an endpoint."""
+        """Returns how many requests recently succeeded and failed at an endpoint."""
         evidence = self.evidence.get(endpoint)
         return evidence.decay(now) if evidence is not None else (0.0, 0.0)
 
     def recent_load(self, now: float, endpoint: int) -> tuple[float, float]:
-        """Returns how many requests lately ended at an endpoint, and at the mean endpoint."""
+        """Returns how many requests recently ended at an endpoint, and at the mean endpoint."""
         is_large = endpoint in self.large_answer_ids
         self.recent_results(now, endpoint)
         total = self.totals[is_large]
@@ -425,7 +425,7 @@
         return any(query.endpoint == endpoint for query in self.queries.values())
 
     def _asking_peers(self, now: float, endpoint: int) -> int:
-        """Returns how many other members have lately queried this proxy about an endpoint."""
+        """Returns how many other members have recently queried this proxy about an endpoint."""
         asked_at_by_peer = self.peer_queries.get(endpoint)
         if not asked_at_by_peer:
             return 0
