--- a/calicofall/fleet/outlier_consensus.py
+++ b/calicofall/fleet/outlier_consensus.py
@@ -258,7 +258,7 @@
         self.own_id = own_id
         self.incarnation = incarnation
         self.zone = zone
-        self.chance = rng
+        self.random_generator = rng
         self.listed: frozenset[int] = frozenset()
         self.large_answer_ids: frozenset[int] = frozenset()  # those of `listed` that are for large answers
         self.evidence: dict[int, Evidence] = {}
@@ -385,13 +385,13 @@
         }
         messages: list[tuple[int, EvidenceMessage]] = []
         if now >= self.next_round_at:
-            self.next_round_at = now + ROUND_INTERVAL_S * self.chance.uniform(0.9, 1.0)
+            self.next_round_at = now + ROUND_INTERVAL_S * self.random_generator.uniform(0.9, 1.0)
             for endpoint in self._endpoints_to_query(now, avoided)[:QUERIES_PER_ROUND]:
                 messages += self._query(now, endpoint, reachable)
         return messages, min([self.next_round_at, *(query.ends_at for query in self.queries.values())])
 
     def _query(self, now: float, endpoint: int, reachable: list[int]) -> list[tuple[int, EvidenceMessage]]:
-        peers = self.chance.sample(reachable, min(PEERS_PER_QUERY, len(reachable)))
+        peers = self.random_generator.sample(reachable, min(PEERS_PER_QUERY, len(reachable)))
         if not peers:
             return []
         self.last_query_id += 1
@@ -414,8 +414,8 @@
                 suspected.append(endpoint)
             elif asking_peers >= MIN_ASKING_PEERS:
                 asked_about.append(endpoint)
-        self.chance.shuffle(suspected)
-        self.chance.shuffle(asked_about)
+        self.random_generator.shuffle(suspected)
+        self.random_generator.shuffle(asked_about)
         return suspected + asked_about
 
     def _is_queried(self, now: float, endpoint: int) -> bool:
--- a/calicofall/fleet/rate_slots.py
+++ b/calicofall/fleet/rate_slots.py
@@ -109,10 +109,12 @@
 
     def next_slot_at(self, time_slots: TimeSlots, now: float, after: float) -> float:
         """Returns the first time (s), from `after` on, of a slot that this proxy may use now."""
-        round_s = SLOTS_PER_PROXY * time_slots.period
+        round_s = SLOTS_PER_PROXY * time_slots.period_s
         round_start = self._round_start(time_slots)
         first_times = (
-            round_start + (owner + time_slots.turn) % self.proxies * time_slots.gap + slot * time_slots.period
+            round_start
+            + (owner + time_slots.offset) % self.proxies * time_slots.gap_s
+            + slot * time_slots.period_s
             for owner, slot in self.usable_slots(now)
         )
         return min(first + -((first - after) // round_s) * round_s for first in first_times)
@@ -121,14 +123,16 @@
         """Returns whether the slot at `slot_at` may be used now; has to be called right before the use."""
         if now > slot_at + SLOT_LATENESS_S:
             return False
-        index = round((slot_at - self._round_start(time_slots)) / time_slots.gap) % self.total
+        index = round((slot_at - self._round_start(time_slots)) / time_slots.gap_s) % self.total
         slot, position = divmod(index, self.proxies)
-        return ((position - time_slots.turn) % self.proxies, slot) in self.usable_slots(now)
+        return ((position - time_slots.offset) % self.proxies, slot) in self.usable_slots(now)
 
     @staticmethod
     def _round_start(time_slots: TimeSlots) -> float:
         """Returns when the round started in which the time slots were set up."""
-        return time_slots.now - time_slots.wall % (SLOTS_PER_PROXY * time_slots.period)
+        return time_slots.created_at_s - time_slots.created_at_wall_s % (
+            SLOTS_PER_PROXY * time_slots.period_s
+        )
 
 
 class SlotDemand:
@@ -172,7 +176,7 @@
         self.rate_slots.usable_slots(now)
         # Not before a slot was last gained: before that, another proxy may have used it.
         since = max(
-            now - SLOT_LATENESS_S, self.rate_slots.gained_at, self.last_used_at + self.time_slots.gap / 2.0
+            now - SLOT_LATENESS_S, self.rate_slots.gained_at, self.last_used_at + self.time_slots.gap_s / 2.0
         )
         return self.rate_slots.next_slot_at(self.time_slots, now, since)
 
@@ -193,4 +197,4 @@
 
     def wanted_slots(self, now: float) -> float:
         """Returns how many slots of a round would be used without a limit."""
-        return self.demand.rate_per_s(now) * SLOTS_PER_PROXY * self.time_slots.period
+        return self.demand.rate_per_s(now) * SLOTS_PER_PROXY * self.time_slots.period_s
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from helpers import Air, Loop
+from helpers import FakeDatagramTransport, FakeEventLoop
 
 from calicofall.fleet.membership import (
     INDIRECT_PROBERS,
@@ -58,12 +58,12 @@
 class ConfusesIncarnations(Membership):
     """Holds against an incarnation what was said of a former one."""
 
-    def _record_answer(self, member: int, life: int, asked: float, by: int | None) -> None:
+    def _record_answer(self, member: int, incarnation: int, asked: float, by: int | None) -> None:
         peer = self.peers[member]
-        if peer.incarnation and life != peer.incarnation:
-            life = peer.incarnation
+        if peer.incarnation and incarnation != peer.incarnation:
+            incarnation = peer.incarnation
         if peer.away_since is None:
-            super()._record_answer(member, life, asked, by)
+            super()._record_answer(member, incarnation, asked, by)
 
 
 class NeverProbesIndirectly(Membership):
@@ -215,20 +215,24 @@
     for seed in range(6):
         simulation = MembershipSimulation(10, seed, loss=0.05, double=0.1, stuck=0.05)
         simulation.run(20.0)
-        chance = Random(seed)
+        random_generator = Random(seed)
         while simulation.now < 60.0:
-            simulation.run(simulation.now + chance.uniform(0.2, 2.0))
-            what, me = chance.randrange(5), chance.randrange(10)
+            simulation.run(simulation.now + random_generator.uniform(0.2, 2.0))
+            what, me = random_generator.randrange(5), random_generator.randrange(10)
             if what == 0:
-                simulation.stop(me, chance.uniform(0.5, 9.0))
+                simulation.stop(me, random_generator.uniform(0.5, 9.0))
             elif what == 1 and me not in simulation.dead:
                 simulation.kill({me})
             elif what == 2 and simulation.dead:
                 simulation.rise(min(simulation.dead))
             elif what == 3:
-                simulation.isolate(me, chance.choice(["in", "out", "both"]), chance.uniform(1.0, 9.0))
+                simulation.isolate(
+                    me, random_generator.choice(["in", "out", "both"]), random_generator.uniform(1.0, 9.0)
+                )
             elif what == 4:
-                simulation.split(set(chance.sample(range(10), 5)), chance.uniform(1.0, 9.0))
+                simulation.split(
+                    set(random_generator.sample(range(10), 5)), random_generator.uniform(1.0, 9.0)
+                )
         simulation.run(simulation.now + 10.0)
         assert simulation.time_until_views_equal(frozenset(simulation.dead), 40.0) is not None, seed
 
@@ -240,8 +244,10 @@
     return Membership(0, 77, frozenset(range(fleet)), 0.0, Random(1))
 
 
-def deliver_answer(member: Membership, ask: MembershipProbe, of: int, life: int, now: float) -> None:
-    member.on_message(now, MembershipProbe(ProbeKind.PROBE_ANSWER, of, life, ask.correlation_id, of, 0, ()))
+def deliver_answer(member: Membership, ask: MembershipProbe, of: int, incarnation: int, now: float) -> None:
+    member.on_message(
+        now, MembershipProbe(ProbeKind.PROBE_ANSWER, of, incarnation, ask.correlation_id, of, 0, ())
+    )
 
 
 def test_answer_to_own_probe_counts_once_and_others_are_ignored() -> None:
@@ -341,20 +347,20 @@
     word = MembershipProbe(ProbeKind.PROBE, 1, 2, 3, 1, 0, (4, 5, 6))
     assert peer_messages.decode_message(peer_messages.encode_message("shop", word), "shop", 8) == word
     for wrong in (("x",), (-1,), tuple(range(40)), (1.5,), "abc"):
-        with pytest.raises(peer_messages.InvalidMessage):
+        with pytest.raises(peer_messages.InvalidMessageError):
             peer_messages.decode_message(
                 peer_messages.encode_message("shop", word._replace(suspicions=wrong)), "shop", 8
             )
     largest = MembershipProbe(3, 999, 2**48, 2**48, 999, 2**48, (999, 2**48, 999) * SUSPICIONS_PER_MESSAGE)
-    assert len(peer_messages.encode_message("f" * 60, largest)) <= peer_messages.LARGEST
+    assert len(peer_messages.encode_message("f" * 60, largest)) <= peer_messages.MAX_DATAGRAM_BYTES
 
 
 def test_gossip_transport_answers_probes_and_logs_members_away(caplog: pytest.LogCaptureFixture) -> None:
-    loop = Loop()
+    loop = FakeEventLoop()
     peers = GossipTransport(
         loop, ContentionEstimate(0, 3, 10.0, Random(1)), "shop", 77, [("10.0.0.1", 1)] * 3, lambda: True
     )
-    peers.connection_made(air := Air())
+    peers.connection_made(air := FakeDatagramTransport())
     air.sent.clear()
     peers.datagram_received(
         peer_messages.encode_message("shop", MembershipProbe(ProbeKind.PROBE, 1, 5, 33, 1, 0, ())), ("x", 1)
@@ -369,7 +375,7 @@
     with caplog.at_level("INFO", "calicofall"):
         for _ in range(20):  # member 1 answers, member 2 never does
             air.sent.clear()
-            loop.run(0.5)
+            loop.advance(0.5)
             for word in [peer_messages.decode_message(data, "shop", 3) for data in air.sent]:
                 if isinstance(word, MembershipProbe) and word.kind == ProbeKind.PROBE:
                     marks = peers.membership.outstanding_probes
