--- a/tests/test_canary.py
+++ b/tests/test_canary.py
@@ -1,4 +1,4 @@
-"""Canaries: a version tried on a part of the fleet is measured, halted and reported."""
+"""Canaries: a settings version tried at some proxies is measured, halted and reported."""
 
 import json
 from itertools import pairwise
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from settings_support import document_text, serve_answers
-from test_versions import Agreed, paper
+from test_versions import SettingsSyncHarness, make_document
 
 from calicofall.cli.main import main
 from calicofall.fleet.canary import (
@@ -27,30 +27,30 @@
 from calicofall.fleet.settings_document import InvalidDocument, parse_document, seal_document
 from calicofall.proxy.configuration_sync import ConfigurationSync
 
-BASELINE_END = 30  # s at which the canary starts
-RUN_END = 60
+BASELINE_END = 30  # second at which the canary starts
+RUN_END = 60  # second at which the run ends
 DURATION_S = 10.0
 TOLERATED_INCREASE = 0.05
 
 
 class CanaryResult(NamedTuple):
-    """A canary after its run, and when it was over (s); None if it never was."""
+    """A canary after its run, and when it ended (s); None if it did not end."""
 
     canary: Canary
     over_at: float | None
 
 
 def report_of(canary: Canary) -> CanaryReport:
-    """What is said of a canary that was started."""
+    """Returns the report on a canary that was started."""
     assert canary.report is not None
     return canary.report
 
 
-def run_canary(parts: dict[str, tuple[float, float]], rate: float = 10.0) -> CanaryResult:
-    """Runs a canary at a proxy whose methods have these parts not completed, before and during it.
+def run_canary(fractions: dict[str, tuple[float, float]], rate: float = 10.0) -> CanaryResult:
+    """Runs a canary at a proxy whose methods have these failure fractions.
 
     Args:
-        parts: by method, the part not completed before the canary, and during it.
+        parts: by method, the fraction of requests not completed in the baseline, and during the canary.
         rate: requests of each method (1/s).
     """
     canary = Canary()
@@ -59,8 +59,11 @@
         before = min(second, BASELINE_END)
         during = max(0, second - BASELINE_END)
         return {
-            method: (round(second * rate), round(rate * (before * part_before + during * part_during)))
-            for method, (part_before, part_during) in parts.items()
+            method: (
+                round(second * rate),
+                round(rate * (before * fraction_before + during * fraction_during)),
+            )
+            for method, (fraction_before, fraction_during) in fractions.items()
         }
 
     for second in range(BASELINE_END):
@@ -73,7 +76,7 @@
     return CanaryResult(canary, None)
 
 
-# Measuring
+# Measurement
 
 
 @pytest.mark.parametrize(
@@ -141,7 +144,7 @@
     assert report_of(canary).state == CanaryState.FAILING
 
 
-def test_canary_with_nothing_before_it_is_unmeasured() -> None:
+def test_canary_without_a_baseline_is_unmeasured() -> None:
     canary = Canary()
     canary.begin(30.0, 7, 10.0, 0.05, {"read": (0, 0)})
 
@@ -161,7 +164,7 @@
     assert report_of(run_canary({"read": part}).canary).state == CanaryState.WELL
 
 
-def test_baseline_after_many_looks_is_no_older_than_stated() -> None:
+def test_baseline_after_many_observations_is_no_older_than_stated() -> None:
     canary = Canary()
 
     for second in range(200):
@@ -172,13 +175,13 @@
 
 
 @given(st.integers(0, 500), st.integers(1, 500))
-def test_bounds_of_any_counts_contain_the_part(failed: int, of: int) -> None:
-    part = min(failed, of) / of
+def test_wilson_interval_of_any_counts_contains_the_fraction(failed: int, total: int) -> None:
+    fraction = min(failed, total) / total
 
-    low, high = wilson_interval(min(failed, of), of)
+    low, high = wilson_interval(min(failed, total), total)
 
-    assert -1e-9 <= low <= part + 1e-9
-    assert part - 1e-9 <= high <= 1.0 + 1e-9
+    assert -1e-9 <= low <= fraction + 1e-9
+    assert fraction - 1e-9 <= high <= 1.0 + 1e-9
 
 
 @given(st.lists(st.tuples(st.integers(0, 40), st.floats(0.0, 1.0)), min_size=1, max_size=30))
@@ -190,9 +193,9 @@
     canary.observe(0.0, {"read": (ended, failed)})
     canary.begin(0.5, 7, 10.0, 0.05, {"read": (ended, failed)})
 
-    for second, (more, part) in enumerate(steps, 1):
-        ended += more
-        failed += round(more * part)
+    for second, (new_requests, fraction) in enumerate(steps, 1):
+        ended += new_requests
+        failed += round(new_requests * fraction)
         canary.observe(float(second), {"read": (ended, failed)})
         states.append(report_of(canary).state)
 
@@ -205,57 +208,59 @@
 FAILING_CHANGE = {"order": {"hardDeadlineNs": 1_000_000}}
 
 
-def versions_of(harness: Agreed) -> ConfigurationSync:
-    """The proxy's versions of the settings."""
-    versions: ConfigurationSync | None = harness.versions
-    assert versions is not None
-    return versions
+def configuration_sync_of(harness: SettingsSyncHarness) -> ConfigurationSync:
+    """Returns the proxy's configuration sync."""
+    configuration_sync: ConfigurationSync | None = harness.configuration_sync
+    assert configuration_sync is not None
+    return configuration_sync
 
 
-def tell_canary(harness: Agreed, changes: dict[str, dict[str, Any]], members: tuple[int, ...] = (0,)) -> None:
-    """The source tells the proxy of a document to be tried; `changes` by method."""
-    data = paper(2, 3, **changes)
+def deliver_canary(
+    harness: SettingsSyncHarness, changes: dict[str, dict[str, Any]], members: tuple[int, ...] = (0,)
+) -> None:
+    """Delivers a canary document from the source; `changes` holds changed fields by method."""
+    data = make_document(2, 3, **changes)
     data["trial"] = {"members": list(members), "s": 5.0, "worse": 0.05}
-    versions_of(harness).on_document(orjson.dumps(seal_document(data)))
+    configuration_sync_of(harness).on_document(orjson.dumps(seal_document(data)))
 
 
-def deadline_of_order(harness: Agreed) -> float:
-    """The deadline that the proxy acts on for a method (ms)."""
+def deadline_of_order(harness: SettingsSyncHarness) -> float:
+    """Returns the hard deadline that the proxy applies to the method `order` (ms)."""
     deadline: float = harness.proxy.router.policy.settings.methods["order"]["hard_deadline"]
     return deadline
 
 
-def proxy_with_version_1() -> Agreed:
-    """A proxy whose version 1 is in effect, with a lease."""
-    harness = Agreed()
+def proxy_with_version_1() -> SettingsSyncHarness:
+    """Returns a proxy with a lease, at which version 1 is in effect."""
+    harness = SettingsSyncHarness()
     harness.with_high_limits()
-    return harness.go_on(4.0)
+    return harness.advance(4.0)
 
 
-def test_canary_document_is_applied_with_what_is_in_effect_and_is_no_version() -> None:
+def test_canary_document_is_combined_with_the_version_in_effect_and_is_no_version() -> None:
     harness = proxy_with_version_1()
 
-    tell_canary(harness, FAILING_CHANGE | {"read": {"gain": 9.0}})
+    deliver_canary(harness, FAILING_CHANGE | {"read": {"gain": 9.0}})
 
     assert deadline_of_order(harness) == 1.0
     assert harness.proxy.router.policy.settings.methods["read"]["gain"] == 9.0
-    assert versions_of(harness).lease_status == LeaseStatus((1,), True)
-    assert versions_of(harness).agreement.highest_known == 1
+    assert configuration_sync_of(harness).lease_status == LeaseStatus((1,), True)
+    assert configuration_sync_of(harness).agreement.highest_known == 1
     assert (
         "settings.trial:2 trying method=- not_completed=0.000 before=0.000 of=0 why=-"
         in harness.proxy.handle_call("versions")
     )
-    harness.go_on(6.0)  # without any requests
-    assert report_of(versions_of(harness).canary).state == CanaryState.UNMEASURED
+    harness.advance(6.0)  # without any requests
+    assert report_of(configuration_sync_of(harness).canary).state == CanaryState.UNMEASURED
     assert deadline_of_order(harness) > 1.0
 
 
 def test_canary_document_for_other_members_is_not_tried() -> None:
     harness = proxy_with_version_1()
 
-    tell_canary(harness, FAILING_CHANGE, members=(1, 2))
+    deliver_canary(harness, FAILING_CHANGE, members=(1, 2))
 
-    assert versions_of(harness).canary.report is None
+    assert configuration_sync_of(harness).canary.report is None
     assert deadline_of_order(harness) > 1.0
 
 
@@ -265,12 +270,12 @@
     harness = proxy_with_version_1()
     counts = harness.proxy.metrics.answer_counts
     counts["completed"]["order"] += 50
-    harness.go_on(1.0)
-    tell_canary(harness, FAILING_CHANGE)
+    harness.advance(1.0)
+    deliver_canary(harness, FAILING_CHANGE)
     counts["errored"]["order"] += MIN_REQUESTS
 
     with caplog.at_level("WARNING", "calicofall"):
-        harness.go_on(1.0)
+        harness.advance(1.0)
 
     assert deadline_of_order(harness) > 1.0
     logged = [vars(record) for record in caplog.records if record.message == "trial over"]
@@ -281,34 +286,34 @@
 
 def test_canary_when_the_lease_is_lost_ends_unmeasured() -> None:
     harness = proxy_with_version_1()
-    tell_canary(harness, FAILING_CHANGE)
+    deliver_canary(harness, FAILING_CHANGE)
 
-    harness.go_on(3.0, answers=False)
+    harness.advance(3.0, peers_answer=False)
 
-    assert not versions_of(harness).lease_status.leased
-    assert report_of(versions_of(harness).canary).reason == "no lease"
+    assert not configuration_sync_of(harness).lease_status.leased
+    assert report_of(configuration_sync_of(harness).canary).reason == "no lease"
 
 
-def test_canary_when_another_version_is_heard_ends_unmeasured() -> None:
+def test_canary_when_another_version_arrives_ends_unmeasured() -> None:
     harness = proxy_with_version_1()
-    tell_canary(harness, FAILING_CHANGE)
+    deliver_canary(harness, FAILING_CHANGE)
 
     harness.publish(2)
 
-    assert report_of(versions_of(harness).canary).reason == "another version"
+    assert report_of(configuration_sync_of(harness).canary).reason == "another version"
     assert deadline_of_order(harness) > 1.0
 
 
-def test_canary_document_that_cannot_follow_or_comes_without_a_lease_is_not_tried() -> None:
+def test_canary_document_that_cannot_follow_or_arrives_without_a_lease_is_not_tried() -> None:
     harness = proxy_with_version_1()
 
-    tell_canary(harness, {"read": {"failureDomainsOnly": ["b"]}, "order": {"streaming": True}})
+    deliver_canary(harness, {"read": {"failureDomainsOnly": ["b"]}, "order": {"streaming": True}})
 
-    assert versions_of(harness).canary.report is None
+    assert configuration_sync_of(harness).canary.report is None
     assert "settings.refused:2" in harness.proxy.handle_call("versions")
-    harness.go_on(3.0, answers=False)
-    tell_canary(harness, FAILING_CHANGE)
-    assert versions_of(harness).canary.report is None
+    harness.advance(3.0, peers_answer=False)
+    deliver_canary(harness, FAILING_CHANGE)
+    assert configuration_sync_of(harness).canary.report is None
     assert deadline_of_order(harness) > 1.0
 
 
@@ -325,8 +330,8 @@
         pytest.param({"members": [0], "more": 1}, id="unknown field"),
     ],
 )
-def test_parse_of_a_wrong_canary_plan_raises_an_error_of_one_line(plan: object) -> None:
-    data = paper(2, 3)
+def test_parse_of_an_invalid_canary_plan_raises_an_error_of_one_line(plan: object) -> None:
+    data = make_document(2, 3)
     data["trial"] = plan
 
     with pytest.raises(InvalidDocument) as raised:
@@ -340,7 +345,10 @@
 
 
 def serve_proxy(number: int, *canary_lines: str) -> str:
-    """A proxy's management address: it says its number, then of its canary what these lines hold."""
+    """Serves a proxy's management address; returns it.
+
+    The first answer holds the proxy's number, each later one a line on its canary.
+    """
     head = f"+OK\nsettings.me:{number}\n"
     answers = [f"{head}settings.{line}\n.\n".encode() for line in canary_lines]
     return serve_answers(f"{head}.\n".encode(), *answers)[0]
@@ -399,7 +407,7 @@
     assert len(received) == 1
 
 
-def test_fleet_status_with_an_unreachable_proxy_names_it_and_those_that_miss_it() -> None:
+def test_fleet_status_with_an_unreachable_proxy_names_it_and_the_proxies_that_report_it() -> None:
     def serve_members(me: int, away: int, *lines: str) -> str:
         members = "\n".join(
             [
