--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -1,4 +1,4 @@
-"""Configuration agreement: pairs of faults, random walks through faults, planted mistakes that are found."""
+"""Configuration agreement: pairs of faults, random walks through faults, and planted defects."""
 
 import os
 from collections.abc import Callable
@@ -22,18 +22,18 @@
     walk,
 )
 
-# One in so many of the schedules is run; 1 runs all of them, which takes some minutes.
+# Every SCHEDULE_STRIDE-th schedule is run; 1 runs all of them, which takes some minutes.
 SCHEDULE_STRIDE = int(os.environ.get("SCHEDULES", "12"))
 
 Result = TypeVar("Result")
 MakeAgreement = type[ConfigurationAgreement]
 Scenario = Callable[[MakeAgreement], AgreementSimulation]
 
-# Mistakes made on purpose
+# Planted defects
 
 
 class LeaseCheckedOnEventsOnly(ConfigurationAgreement):
-    """A lease that ignores a pause: what it may do is looked up when something happens, not when it acts."""
+    """Checks the lease in rounds only, not before each send, and so ignores a pause of the process."""
 
     last_status = LeaseStatus((), False)
 
@@ -47,7 +47,7 @@
 
 
 class AcknowledgementsKeptOverRestart(ConfigurationAgreement):
-    """A peer's acknowledgement that is kept over the peer's restart."""
+    """Keeps a peer's acknowledgement after the peer's restart."""
 
     def on_response(self, now: float, message: AgreementMessage) -> bool:
         peer = self.peers.get(message.sender)
@@ -59,7 +59,7 @@
 
 
 class MajorityOfFormerVoters(ConfigurationAgreement):
-    """A majority counted over the voters of the version in effect alone."""
+    """Counts majorities over the voters of the version in effect only."""
 
     def with_former_voters(self, action: Callable[[], Result]) -> Result:
         held = self.held_versions
@@ -81,7 +81,7 @@
 
 
 class NoGrantDuration(ConfigurationAgreement):
-    """A version in effect as soon as a majority holds it."""
+    """Brings a version into effect as soon as a majority holds it."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -89,7 +89,7 @@
 
 
 class LeaseFromResponse(ConfigurationAgreement):
-    """A lease that runs from the response instead of the request."""
+    """Runs leases from the response instead of the request."""
 
     def on_response(self, now: float, message: AgreementMessage) -> bool:
         if message.correlation_id in self.requested_at:
@@ -98,7 +98,7 @@
 
 
 class ReplayedResponsesAccepted(ConfigurationAgreement):
-    """Responses count that belong to no request."""
+    """Counts responses that belong to no request."""
 
     def on_response(self, now: float, message: AgreementMessage) -> bool:
         self.requested_at.setdefault(message.correlation_id, now)
@@ -106,7 +106,7 @@
 
 
 class MissedVersionIgnored(ConfigurationAgreement):
-    """One that missed a version between two goes on with these."""
+    """Acts on two versions although it has missed one between them."""
 
     def lease_status(self, now: float) -> LeaseStatus:
         return LeaseStatus(
@@ -115,11 +115,11 @@
         )
 
 
-# Scenarios, each of which shows one of the mistakes
+# Scenarios, each of which reveals one of the defects
 
 
 def agreed_simulation(fleet: int, make: MakeAgreement, voters: int | None = None) -> AgreementSimulation:
-    """A fleet that has agreed on version 1."""
+    """Returns a fleet that has agreed on version 1."""
     simulation = AgreementSimulation(fleet, 1, make=make, voters=voters)
     simulation.run(5.0)
     assert simulation.agreed()
@@ -137,7 +137,7 @@
 
 
 def all_voters_but_one_restarted(make: MakeAgreement, alone: float = 0.9) -> AgreementSimulation:
-    """A majority holds version 2, then all but one restart before a source that is back with version 1."""
+    """A majority holds version 2; then all voters but one restart, and the source has version 1 again."""
     simulation = agreed_simulation(5, make)
     simulation.isolate(3, "in", 1.5)
     simulation.isolate(4, "in", 1.5)
@@ -149,13 +149,13 @@
     for member in range(1, 5):
         simulation.restart(member)
     simulation.run(10.4)
-    simulation.isolate(3, "both", 6.0)  # has a lease on version 1, granted by those that forgot version 2
+    simulation.isolate(3, "both", 6.0)  # has a lease on version 1, granted by voters that lost version 2
     simulation.run(20.0)
     return simulation
 
 
 def late_responses(make: MakeAgreement) -> AgreementSimulation:
-    """A proxy whose requests are answered late, the last ones just before a version it cannot hear of."""
+    """Responses reach a proxy late, the last ones just before a version of which it cannot learn."""
     simulation = agreed_simulation(3, make)
     simulation.held_up = {(1, 0): 2.7, (2, 0): 2.7}
     simulation.run(12.0)
@@ -170,7 +170,7 @@
 
 
 def replayed_responses(make: MakeAgreement) -> AgreementSimulation:
-    """A proxy that is cut off is handed responses from long ago, over and over."""
+    """An isolated proxy receives old responses again and again."""
     simulation = agreed_simulation(3, make)
     node = simulation.fleet[0]
     replayed = [
@@ -199,7 +199,7 @@
 
 
 def missed_version(make: MakeAgreement) -> AgreementSimulation:
-    """A proxy hears of version 3, and not of version 2 before it."""
+    """A proxy receives version 3 without version 2 before it."""
     simulation = agreed_simulation(3, make)
     node = simulation.fleet[0]
     simulation.cut({(-1, 0), (0, -1)})
@@ -213,7 +213,7 @@
 
 
 def voters_restarted_at_once(make: MakeAgreement) -> AgreementSimulation:
-    """One acts on version 2, granted by voters that restart and then grant version 1 to another."""
+    """A proxy acts on version 2, and the voters that granted its lease restart and grant one on version 1."""
     simulation = agreed_simulation(3, make)
     simulation.isolate(2, "both", 8.2)
     simulation.publish()
@@ -226,7 +226,7 @@
 
 
 def isolated_member(make: MakeAgreement) -> AgreementSimulation:
-    """A proxy hears nothing while a version is published."""
+    """A proxy is isolated while a version is published."""
     simulation = agreed_simulation(3, make)
     simulation.isolate(0, "both", 9.0)
     simulation.publish()
@@ -235,9 +235,9 @@
 
 
 def changed_voters(make: MakeAgreement) -> AgreementSimulation:
-    """Voters change; the new ones move on to a third version beyond a cut.
+    """The voters change, and the new ones agree on a third version while links are cut.
 
-    The cut is from two of the former voters, one of which hears of the second version late.
+    Two of the former voters are cut off, and one of them receives the second version late.
     """
     simulation = agreed_simulation(5, make, voters=3)
     node = simulation.fleet[0]
@@ -266,7 +266,7 @@
 
 
 def violates_agreement(simulation: AgreementSimulation) -> bool:
-    """Whether proxies contradicted each other, or one acted on a version alone for longer than it may."""
+    """Returns whether proxies contradicted each other, or one acted on a version alone for too long."""
     return (
         simulation.longest_contradiction_s > 0.0
         or simulation.longest_stale_s > simulation.bound + 2 * CHECK_INTERVAL_S
@@ -274,8 +274,8 @@
 
 
 @pytest.mark.parametrize("alone", [0.5, 0.6, 0.7, 0.8, 0.9, 0.95])
-def test_version_in_effect_after_voters_forgot_it_is_confirmed_anew(alone: float) -> None:
-    """One acted on version 2, lost its lease, and got it again from voters that had granted 1 meanwhile."""
+def test_version_in_effect_is_confirmed_again_after_voters_lost_it(alone: float) -> None:
+    """A proxy loses its lease on version 2, and renews it with voters that have granted version 1 since."""
     assert not violates_agreement(all_voters_but_one_restarted(ConfigurationAgreement, alone))
 
 
@@ -299,19 +299,19 @@
         (MajorityOfFormerVoters, changed_voters),
     ],
 )
-def test_scenario_with_a_planted_mistake_shows_a_violation(make: MakeAgreement, scenario: Scenario) -> None:
+def test_scenario_with_a_planted_defect_shows_a_violation(make: MakeAgreement, scenario: Scenario) -> None:
     assert violates_agreement(scenario(make))
 
 
 def test_three_proxies_with_any_two_faults_never_contradict_and_agree_in_the_end() -> None:
-    plans = schedules()[::SCHEDULE_STRIDE]
+    chosen_schedules = schedules()[::SCHEDULE_STRIDE]
 
-    for plan in plans:
-        simulation = run_schedule(plan)
-        assert not violates_agreement(simulation), plan
-        assert simulation.agreed(), plan
+    for schedule in chosen_schedules:
+        simulation = run_schedule(schedule)
+        assert not violates_agreement(simulation), schedule
+        assert simulation.agreed(), schedule
 
-    assert len(plans) > 300
+    assert len(chosen_schedules) > 300
 
 
 @pytest.mark.parametrize(
@@ -323,7 +323,7 @@
     ],
 )
 def test_random_walk_through_faults_never_contradicts_and_agrees_in_the_end(fleet: int, seeds: range) -> None:
-    """Lost, doubled and late messages, pauses, restarts, cuts, a source that is back with old versions."""
+    """Faults are lost, duplicate and late messages, pauses, restarts, cuts, and older source versions."""
     links = LinkFaults(lost=0.1, duplicated=0.1, stuck=0.05)
     for seed in seeds:
         simulation = AgreementSimulation(fleet, seed, voters=min(fleet, 7), links=links)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: simulated fleets with faults, planted defects that are found, and single instances."""
+"""Membership: simulated fleets with faults, planted defects that are detected, and single instances."""
 
 from collections.abc import Callable
 from math import log2
@@ -32,7 +32,7 @@
 
 
 class TrustsPeerSuspicions(Membership):
-    """A peer's suspicion makes a member away."""
+    """Declares a member away because of a peer's suspicion."""
 
     def _on_suspicion(self, now: float, member: int, incarnation: int, suspected_by: int) -> None:
         super()._on_suspicion(now, member, incarnation, suspected_by)
@@ -40,50 +40,52 @@
             self.peers[member].away_since = now
 
 
-class BlamesOthersWhenLate(Membership):
-    """A round that ends late counts."""
+class CountsLateRounds(Membership):
+    """Counts rounds that end late."""
 
     def _end_round(self, now: float) -> None:
         self.next_round_at = now
         super()._end_round(now)
 
 
-class BlamesOthersWhenIsolated(Membership):
-    """Suspects others while it is isolated itself."""
+class IgnoresOwnIsolation(Membership):
+    """Declares others away while this proxy itself is isolated."""
 
     def is_isolated(self, now: float) -> bool:
         return False
 
 
-class ConfusesIncarnations(Membership):
-    """Holds against an incarnation what was said of a former one."""
+class MixesIncarnations(Membership):
+    """Applies suspicions of a former incarnation to the present one."""
 
-    def _record_answer(self, member: int, incarnation: int, asked: float, by: int | None) -> None:
+    def _record_answer(self, member: int, incarnation: int, sent_at: float, via: int | None) -> None:
         peer = self.peers[member]
         if peer.incarnation and incarnation != peer.incarnation:
             incarnation = peer.incarnation
         if peer.away_since is None:
-            super()._record_answer(member, incarnation, asked, by)
+            super()._record_answer(member, incarnation, sent_at, via)
 
 
 class NeverProbesIndirectly(Membership):
-    """Never asks others to probe."""
+    """Never asks other members to probe."""
 
     def wake(self, now: float) -> tuple:
         self.indirect_probes_at = float("inf")
         return super().wake(now)
 
 
-class SuspectsEverybody(Membership):
-    """Tells others that it suspects everybody."""
+class SuspectsAllMembers(Membership):
+    """Reports suspicions of all members."""
 
-    def _message(self, what: int, mark: int, about: int, its: int = 0) -> MembershipProbe:
-        word = super()._message(what, mark, about, its)
+    def _message(
+        self, kind: int, correlation_id: int, subject: int, subject_incarnation: int = 0
+    ) -> MembershipProbe:
+        message = super()._message(kind, correlation_id, subject, subject_incarnation)
         suspicions = [
             (member, peer.incarnation, self.own_id) for member, peer in self.peers.items() if peer.incarnation
         ]
-        told = self.rng.sample(suspicions, min(4, len(suspicions)))
-        return word._replace(suspicions=tuple(number for suspicion in told for number in suspicion))
+        sampled = self.rng.sample(suspicions, min(4, len(suspicions)))
+        return message._replace(suspicions=tuple(number for suspicion in sampled for number in suspicion))
 
 
 # Fault scenarios
@@ -92,14 +94,14 @@
 def connected_simulation(
     fleet: int, membership_class: type = Membership, **links: float
 ) -> MembershipSimulation:
-    """A simulation in which all members have probed each other."""
+    """Returns a simulation in which all members have probed each other."""
     simulation = MembershipSimulation(fleet, 1, membership_class, **links)
     simulation.run(2.0 * fleet * ROUND_INTERVAL_S + 5.0)
     return simulation
 
 
 def one_is_stopped_repeatedly(membership_class: type) -> MembershipSimulation:
-    """One node is stopped for long, four times, and reads its answers late."""
+    """Stops one node four times for seven seconds, so that it reads its answers late."""
     simulation = connected_simulation(8, membership_class)
     for _ in range(4):
         simulation.stop(0, 7.0)
@@ -123,19 +125,19 @@
     return simulation
 
 
-def one_suspects_everybody(membership_class: type) -> MembershipSimulation:
-    makes = iter([SuspectsEverybody, *[membership_class] * 7])
-    simulation = connected_simulation(8, lambda *values: next(makes)(*values))
+def one_suspects_all_members(membership_class: type) -> MembershipSimulation:
+    classes = iter([SuspectsAllMembers, *[membership_class] * 7])
+    simulation = connected_simulation(8, lambda *values: next(classes)(*values))
     simulation.run(simulation.now + 30.0)
     return simulation
 
 
 def some_restart(membership_class: type) -> MembershipSimulation:
     simulation = connected_simulation(8, membership_class)
-    for me in (1, 2, 3):
-        simulation.kill({me})
+    for member in (1, 2, 3):
+        simulation.kill({member})
         simulation.run(simulation.now + 15.0)
-        simulation.rise(me)
+        simulation.rise(member)
         simulation.run(simulation.now + 20.0)
     return simulation
 
@@ -144,7 +146,7 @@
     one_is_stopped_repeatedly,
     one_is_isolated,
     one_link_is_cut,
-    one_suspects_everybody,
+    one_suspects_all_members,
     some_restart,
 ]
 
@@ -159,10 +161,10 @@
 @pytest.mark.parametrize(
     ("membership_class", "scenario"),
     [
-        (BlamesOthersWhenIsolated, one_is_isolated),
+        (IgnoresOwnIsolation, one_is_isolated),
         (NeverProbesIndirectly, one_link_is_cut),
-        (TrustsPeerSuspicions, one_suspects_everybody),
-        (ConfusesIncarnations, some_restart),
+        (TrustsPeerSuspicions, one_suspects_all_members),
+        (MixesIncarnations, some_restart),
     ],
 )
 def test_fault_scenarios_with_planted_defect_find_it(
@@ -176,33 +178,35 @@
 )
 def test_failed_members_are_away_to_all_within_stated_time(fleet: int, dead: int, loss: float) -> None:
     simulation = connected_simulation(fleet, loss=loss)
-    lost = frozenset(range(1, 1 + dead))
-    simulation.kill(lost)
-    # Twice the average time until the first probe, and a round at the end of which it counts; no loss.
+    failed = frozenset(range(1, 1 + dead))
+    simulation.kill(failed)
+    # Twice the average time until the first probe without loss, plus the round at whose end it counts.
     bound = (
         ROUND_INTERVAL_S * (2 * 2.6 + log2(fleet) + 1 + MIN_FAILED_ROUNDS * -(-dead // SUSPECTS_PER_ROUND))
         + SUSPICION_TIMEOUT_S
     )
-    took = simulation.time_until_views_equal(lost, 60.0)
-    assert took is not None
-    assert SUSPICION_TIMEOUT_S < took <= bound * (1.0 if not loss else 2.0)
-    for me in sorted(lost):
-        simulation.rise(me)
+    elapsed_s = simulation.time_until_views_equal(failed, 60.0)
+    assert elapsed_s is not None
+    assert SUSPICION_TIMEOUT_S < elapsed_s <= bound * (1.0 if not loss else 2.0)
+    for member in sorted(failed):
+        simulation.rise(member)
     assert simulation.time_until_views_equal(NO_MEMBERS, 2.0 * fleet * ROUND_INTERVAL_S) is not None
 
 
 def test_messages_per_proxy_in_larger_fleets_do_not_grow() -> None:
-    said = {}
+    messages_per_proxy_s = {}
     for fleet in (10, 40, 160):
         simulation = connected_simulation(fleet)
         before, since = simulation.sent, simulation.now
         simulation.run(since + 10.0)
-        said[fleet] = (simulation.sent - before) / 10.0 / fleet
-    assert max(said.values()) <= 1.2 * min(said.values()) <= 3.0  # a probe and an answer every 0.95 s
+        messages_per_proxy_s[fleet] = (simulation.sent - before) / 10.0 / fleet
+    assert (
+        max(messages_per_proxy_s.values()) <= 1.2 * min(messages_per_proxy_s.values()) <= 3.0
+    )  # one probe and one answer every 0.95 s
 
 
 def test_suspicions_with_tenth_of_messages_lost_do_not_multiply() -> None:
-    """Each suspicion makes others probe; a probe that is lost must not raise more than one suspicion."""
+    """Each suspicion causes probes by other members; a lost probe must not cause more than one suspicion."""
     simulation = MembershipSimulation(200, 1, loss=0.1)
     simulation.run(30.0)
     before = simulation.sent
@@ -218,18 +222,18 @@
         random_generator = Random(seed)
         while simulation.now < 60.0:
             simulation.run(simulation.now + random_generator.uniform(0.2, 2.0))
-            what, me = random_generator.randrange(5), random_generator.randrange(10)
-            if what == 0:
-                simulation.stop(me, random_generator.uniform(0.5, 9.0))
-            elif what == 1 and me not in simulation.dead:
-                simulation.kill({me})
-            elif what == 2 and simulation.dead:
+            fault, member = random_generator.randrange(5), random_generator.randrange(10)
+            if fault == 0:
+                simulation.stop(member, random_generator.uniform(0.5, 9.0))
+            elif fault == 1 and member not in simulation.dead:
+                simulation.kill({member})
+            elif fault == 2 and simulation.dead:
                 simulation.rise(min(simulation.dead))
-            elif what == 3:
+            elif fault == 3:
                 simulation.isolate(
-                    me, random_generator.choice(["in", "out", "both"]), random_generator.uniform(1.0, 9.0)
+                    member, random_generator.choice(["in", "out", "both"]), random_generator.uniform(1.0, 9.0)
                 )
-            elif what == 4:
+            elif fault == 4:
                 simulation.split(
                     set(random_generator.sample(range(10), 5)), random_generator.uniform(1.0, 9.0)
                 )
@@ -244,112 +248,123 @@
     return Membership(0, 77, frozenset(range(fleet)), 0.0, Random(1))
 
 
-def deliver_answer(member: Membership, ask: MembershipProbe, of: int, incarnation: int, now: float) -> None:
-    member.on_message(
-        now, MembershipProbe(ProbeKind.PROBE_ANSWER, of, incarnation, ask.correlation_id, of, 0, ())
+def deliver_answer(
+    membership: Membership, probe: MembershipProbe, responder: int, incarnation: int, now: float
+) -> None:
+    membership.on_message(
+        now,
+        MembershipProbe(
+            ProbeKind.PROBE_ANSWER, responder, incarnation, probe.correlation_id, responder, 0, ()
+        ),
     )
 
 
 def test_answer_to_own_probe_counts_once_and_others_are_ignored() -> None:
-    me = new_membership()
-    ((to, ask),) = me.wake(0.0)[0]
+    membership = new_membership()
+    ((to, probe),) = membership.wake(0.0)[0]
     assert (
-        me.on_message(0.1, MembershipProbe(ProbeKind.PROBE_ANSWER, to, 5, ask.correlation_id + 1, to, 0, ()))
+        membership.on_message(
+            0.1, MembershipProbe(ProbeKind.PROBE_ANSWER, to, 5, probe.correlation_id + 1, to, 0, ())
+        )
         == []
     )
-    assert me.state(to) == "unmet"
+    assert membership.state(to) == "unmet"
     other = next(member for member in (1, 2, 3) if member != to)
-    deliver_answer(me, ask, other, 5, 0.1)
-    assert me.state(other) == "unmet"  # it was not probed
-    deliver_answer(me, ask, to, 5, 0.2)
-    assert me.state(to) == "here"
-    assert me.peers[to].incarnation == 5
-    deliver_answer(me, ask, to, 6, 0.3)  # a duplicate, by another incarnation
-    assert me.peers[to].incarnation == 5
+    deliver_answer(membership, probe, other, 5, 0.1)
+    assert membership.state(other) == "unmet"  # this member was not probed
+    deliver_answer(membership, probe, to, 5, 0.2)
+    assert membership.state(to) == "here"
+    assert membership.peers[to].incarnation == 5
+    deliver_answer(membership, probe, to, 6, 0.3)  # a duplicate, by another incarnation
+    assert membership.peers[to].incarnation == 5
 
 
-@pytest.mark.parametrize(
-    ("membership_class", "suspects"), [(Membership, False), (BlamesOthersWhenLate, True)]
-)
-def test_round_that_ends_late_suspects_nobody(membership_class: type, suspects: bool) -> None:
-    """A proxy that was stopped runs its timers before it has read the answers in its socket."""
-    me = membership_class(0, 77, frozenset(range(4)), 0.0, Random(1))
-    ((to, _),) = me.wake(0.0)[0]
-    me.wake(me.next_round_at + 2.0)
-    assert (me.peers[to].suspected_since is not None) is suspects
+@pytest.mark.parametrize(("membership_class", "suspects"), [(Membership, False), (CountsLateRounds, True)])
+def test_round_that_ends_late_causes_no_suspicion(membership_class: type, suspects: bool) -> None:
+    """A proxy that was stopped runs its timers before it reads the answers in its socket."""
+    membership = membership_class(0, 77, frozenset(range(4)), 0.0, Random(1))
+    ((to, _),) = membership.wake(0.0)[0]
+    membership.wake(membership.next_round_at + 2.0)
+    assert (membership.peers[to].suspected_since is not None) is suspects
 
 
 def test_late_answer_of_former_incarnation_is_ignored() -> None:
-    me = new_membership(2)
-    ((_, first),) = me.wake(0.0)[0]
-    ((_, second),) = me.wake(me.next_round_at)[0]
-    deliver_answer(me, second, 1, 6, 1.1)
-    deliver_answer(me, first, 1, 5, 1.2)
-    assert me.peers[1].incarnation == 6
+    membership = new_membership(2)
+    ((_, first),) = membership.wake(0.0)[0]
+    ((_, second),) = membership.wake(membership.next_round_at)[0]
+    deliver_answer(membership, second, 1, 6, 1.1)
+    deliver_answer(membership, first, 1, 5, 1.2)
+    assert membership.peers[1].incarnation == 6
 
 
 def test_suspicion_of_former_incarnation_is_ignored_and_of_unknown_one_causes_probe() -> None:
-    me = new_membership()
-    me.peers[1].incarnation, me.peers[1].former_incarnations, me.peers[1].last_answered_at = 9, [8], 0.0
-    me.on_message(0.1, MembershipProbe(ProbeKind.PROBE, 2, 5, 1, 2, 0, (1, 8, 2)))
-    assert 1 not in me.probe_queue
-    assert not me.peers[1].suspecting_peers
-    me.on_message(0.1, MembershipProbe(ProbeKind.PROBE, 2, 5, 1, 2, 0, (1, 10, 2)))
-    assert 1 in me.probe_queue
-    assert not me.peers[1].suspecting_peers
-
-
-def test_proxy_that_is_no_member_is_neither_probed_nor_heard() -> None:
-    me = new_membership()
-    me.set_members(frozenset({0, 1}))
-    assert me.on_message(0.1, MembershipProbe(ProbeKind.PROBE, 3, 5, 1, 3, 0, (1, 0, 3))) == []
-    asked = {to for at in range(8) for to, _ in me.wake(float(at))[0]}
-    assert asked == {1}
-    assert me.state(3) == "no member"
-    me.set_members(frozenset({0, 1, 3}))
-    assert me.state(3) == "unmet"
+    membership = new_membership()
+    (
+        membership.peers[1].incarnation,
+        membership.peers[1].former_incarnations,
+        membership.peers[1].last_answered_at,
+    ) = 9, [8], 0.0
+    membership.on_message(0.1, MembershipProbe(ProbeKind.PROBE, 2, 5, 1, 2, 0, (1, 8, 2)))
+    assert 1 not in membership.probe_queue
+    assert not membership.peers[1].suspecting_peers
+    membership.on_message(0.1, MembershipProbe(ProbeKind.PROBE, 2, 5, 1, 2, 0, (1, 10, 2)))
+    assert 1 in membership.probe_queue
+    assert not membership.peers[1].suspecting_peers
+
+
+def test_proxy_that_is_no_member_is_neither_probed_nor_answered() -> None:
+    membership = new_membership()
+    membership.set_members(frozenset({0, 1}))
+    assert membership.on_message(0.1, MembershipProbe(ProbeKind.PROBE, 3, 5, 1, 3, 0, (1, 0, 3))) == []
+    probed = {to for at in range(8) for to, _ in membership.wake(float(at))[0]}
+    assert probed == {1}
+    assert membership.state(3) == "no member"
+    membership.set_members(frozenset({0, 1, 3}))
+    assert membership.state(3) == "unmet"
 
 
 def test_indirect_probes_are_relayed_bounded_and_expire() -> None:
-    me = new_membership(6)
-    out = []
-    for mark in range(MAX_RELAYED_PROBES + 5):
-        out += me.on_message(0.0, MembershipProbe(ProbeKind.INDIRECT_PROBE, 1, 5, mark, 2, 0, ()))
-    assert len(out) == MAX_RELAYED_PROBES
-    assert all(to == 2 and word.kind == ProbeKind.PROBE for to, word in out)
-    ((whom, told),) = me.on_message(
-        0.1, MembershipProbe(ProbeKind.PROBE_ANSWER, 2, 6, out[0][1].correlation_id, 2, 0, ())
+    membership = new_membership(6)
+    messages = []
+    for correlation_id in range(MAX_RELAYED_PROBES + 5):
+        messages += membership.on_message(
+            0.0, MembershipProbe(ProbeKind.INDIRECT_PROBE, 1, 5, correlation_id, 2, 0, ())
+        )
+    assert len(messages) == MAX_RELAYED_PROBES
+    assert all(to == 2 and message.kind == ProbeKind.PROBE for to, message in messages)
+    ((receiver, answer),) = membership.on_message(
+        0.1, MembershipProbe(ProbeKind.PROBE_ANSWER, 2, 6, messages[0][1].correlation_id, 2, 0, ())
     )
-    assert (whom, told.kind, told.subject, told.subject_incarnation, told.correlation_id) == (
+    assert (receiver, answer.kind, answer.subject, answer.subject_incarnation, answer.correlation_id) == (
         1,
         ProbeKind.INDIRECT_ANSWER,
         2,
         6,
         0,
     )
-    me.wake(0.0)
-    me.wake(PROBE_LIFETIME_S + 1.0)
-    assert not me.relayed_probes
+    membership.wake(0.0)
+    membership.wake(PROBE_LIFETIME_S + 1.0)
+    assert not membership.relayed_probes
 
 
 def test_probes_in_a_round_with_all_suspected_stay_within_stated_number() -> None:
-    me = new_membership(50)
+    membership = new_membership(50)
     for member in range(1, 50):
-        me.peers[member].incarnation = member
-        me.probe_queue[member] = None
-    asks, at = me.wake(0.0)
-    assert len(asks) <= 1 + SUSPECTS_PER_ROUND
-    helps, _ = me.wake(at)
-    assert len(helps) <= INDIRECT_PROBERS * (1 + SUSPECTS_PER_ROUND)
+        membership.peers[member].incarnation = member
+        membership.probe_queue[member] = None
+    probes, at = membership.wake(0.0)
+    assert len(probes) <= 1 + SUSPECTS_PER_ROUND
+    indirect_probes, _ = membership.wake(at)
+    assert len(indirect_probes) <= INDIRECT_PROBERS * (1 + SUSPECTS_PER_ROUND)
 
 
 def test_probe_survives_encoding_and_invalid_one_is_dropped() -> None:
-    word = MembershipProbe(ProbeKind.PROBE, 1, 2, 3, 1, 0, (4, 5, 6))
-    assert peer_messages.decode_message(peer_messages.encode_message("shop", word), "shop", 8) == word
-    for wrong in (("x",), (-1,), tuple(range(40)), (1.5,), "abc"):
+    message = MembershipProbe(ProbeKind.PROBE, 1, 2, 3, 1, 0, (4, 5, 6))
+    assert peer_messages.decode_message(peer_messages.encode_message("shop", message), "shop", 8) == message
+    for invalid in (("x",), (-1,), tuple(range(40)), (1.5,), "abc"):
         with pytest.raises(peer_messages.InvalidMessageError):
             peer_messages.decode_message(
-                peer_messages.encode_message("shop", word._replace(suspicions=wrong)), "shop", 8
+                peer_messages.encode_message("shop", message._replace(suspicions=invalid)), "shop", 8
             )
     largest = MembershipProbe(3, 999, 2**48, 2**48, 999, 2**48, (999, 2**48, 999) * SUSPICIONS_PER_MESSAGE)
     assert len(peer_messages.encode_message("f" * 60, largest)) <= peer_messages.MAX_DATAGRAM_BYTES
@@ -357,15 +372,15 @@
 
 def test_gossip_transport_answers_probes_and_logs_members_away(caplog: pytest.LogCaptureFixture) -> None:
     loop = FakeEventLoop()
-    peers = GossipTransport(
+    gossip = GossipTransport(
         loop, ContentionEstimate(0, 3, 10.0, Random(1)), "shop", 77, [("10.0.0.1", 1)] * 3, lambda: True
     )
-    peers.connection_made(air := FakeDatagramTransport())
-    air.sent.clear()
-    peers.datagram_received(
+    gossip.connection_made(transport := FakeDatagramTransport())
+    transport.sent.clear()
+    gossip.datagram_received(
         peer_messages.encode_message("shop", MembershipProbe(ProbeKind.PROBE, 1, 5, 33, 1, 0, ())), ("x", 1)
     )
-    answer = peer_messages.decode_message(air.sent[0], "shop", 3)
+    answer = peer_messages.decode_message(transport.sent[0], "shop", 3)
     assert (answer.kind, answer.correlation_id, answer.sender, answer.incarnation) == (
         ProbeKind.PROBE_ANSWER,
         33,
@@ -374,15 +389,17 @@
     )
     with caplog.at_level("INFO", "calicofall"):
         for _ in range(20):  # member 1 answers, member 2 never does
-            air.sent.clear()
+            transport.sent.clear()
             loop.advance(0.5)
-            for word in [peer_messages.decode_message(data, "shop", 3) for data in air.sent]:
-                if isinstance(word, MembershipProbe) and word.kind == ProbeKind.PROBE:
-                    marks = peers.membership.outstanding_probes
-                    if word.correlation_id in marks and marks[word.correlation_id][0] == 1:
-                        back = MembershipProbe(ProbeKind.PROBE_ANSWER, 1, 5, word.correlation_id, 1, 0, ())
-                        peers.datagram_received(peer_messages.encode_message("shop", back), ("x", 1))
+            for message in [peer_messages.decode_message(data, "shop", 3) for data in transport.sent]:
+                if isinstance(message, MembershipProbe) and message.kind == ProbeKind.PROBE:
+                    outstanding = gossip.membership.outstanding_probes
+                    if message.correlation_id in outstanding and outstanding[message.correlation_id][0] == 1:
+                        answer = MembershipProbe(
+                            ProbeKind.PROBE_ANSWER, 1, 5, message.correlation_id, 1, 0, ()
+                        )
+                        gossip.datagram_received(peer_messages.encode_message("shop", answer), ("x", 1))
     assert [record.who for record in caplog.records if record.message == "members away"] == ["2"]
-    lines = peers.membership.format_lines(loop.time())
+    lines = gossip.membership.format_lines(loop.time())
     assert any(line.startswith("member.2:away life=000000000000") for line in lines)
-    assert peers.list_freshness.begin_round(loop.time(), peers.membership.away_members())[0] == [1]
+    assert gossip.list_freshness.begin_round(loop.time(), gossip.membership.away_members())[0] == [1]
--- a/tests/test_quota_leases.py
+++ b/tests/test_quota_leases.py
@@ -1,11 +1,11 @@
-"""Quota leases: proxies together never exceed a limit, in simulations with faults and planted defects."""
+"""Quota leases: the proxies together never exceed a limit, in simulations with faults and planted defects."""
 
 from collections.abc import Callable
 from random import Random
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as tries
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from calicofall.fleet.configuration_agreement import grant_duration
@@ -24,23 +24,23 @@
 )
 from calicofall.testbed.quota_simulation import QuotaSimulation, run_random_faults
 
-LEASE, DRIFT = 3.0, 0.01
+LEASE_S, DRIFT = 3.0, 0.01
 
 
 # Planted defects
 
 
 class ForgetsLentLeases(QuotaLeases):
-    """An owner forgets at once what it has lent, and lends it again."""
+    """Drops the record of lent units at once, and lends them again."""
 
-    def _grant(self, now: float, word: QuotaLeaseMessage) -> int:
-        units = super()._grant(now, word)
+    def _grant(self, now: float, message: QuotaLeaseMessage) -> int:
+        units = super()._grant(now, message)
         self.lent_leases.clear()
         return units
 
 
 class UsesLentUnits(QuotaLeases):
-    """An owner uses the units that it has lent."""
+    """Uses units that it has lent."""
 
     def units_lent(self, now: float) -> int:
         out = super().units_lent(now)
@@ -48,7 +48,7 @@
 
 
 class IgnoresFormerIncarnation(QuotaLeases):
-    """A new incarnation uses all of its own units at once."""
+    """Uses all of its own units from the start, though a former incarnation may have lent some."""
 
     def __init__(self, *values: object) -> None:
         super().__init__(*values)
@@ -56,55 +56,59 @@
 
 
 class CountsLeaseFromAnswer(QuotaLeases):
-    """A lease runs from its answer on."""
+    """Runs leases from the answer instead of the request."""
 
-    def on_message(self, now: float, word: QuotaLeaseMessage) -> QuotaLeaseMessage | None:
-        if not word.is_request and word.correlation_id in self.pending_requests:
-            whom, units, times = self.pending_requests[word.correlation_id]
-            self.pending_requests[word.correlation_id] = PendingRequest(
-                whom, units, dict.fromkeys(times, now)
+    def on_message(self, now: float, message: QuotaLeaseMessage) -> QuotaLeaseMessage | None:
+        if not message.is_request and message.correlation_id in self.pending_requests:
+            owner, units, times = self.pending_requests[message.correlation_id]
+            self.pending_requests[message.correlation_id] = PendingRequest(
+                owner, units, dict.fromkeys(times, now)
             )
-        return super().on_message(now, word)
+        return super().on_message(now, message)
 
 
 class TakesAnyAnswerForRenewal(QuotaLeases):
-    """An answer to the first request of a lease counts for its renewal."""
+    """Accepts the answer to the first request of a lease as one to its renewal."""
 
-    def on_message(self, now: float, word: QuotaLeaseMessage) -> QuotaLeaseMessage | None:
-        if not word.is_request and word.correlation_id in self.pending_requests:
-            word = word._replace(request_number=max(self.pending_requests[word.correlation_id].sent_at))
-        return super().on_message(now, word)
+    def on_message(self, now: float, message: QuotaLeaseMessage) -> QuotaLeaseMessage | None:
+        if not message.is_request and message.correlation_id in self.pending_requests:
+            message = message._replace(
+                request_number=max(self.pending_requests[message.correlation_id].sent_at)
+            )
+        return super().on_message(now, message)
 
 
 class AddsDuplicateAnswers(QuotaLeases):
-    """A duplicate of an answer counts as another lease."""
+    """Counts a duplicate answer as another lease."""
 
-    def on_message(self, now: float, word: QuotaLeaseMessage) -> QuotaLeaseMessage | None:
-        if not word.is_request and word.correlation_id in self.borrowed_leases:
-            whom, units, until = self.borrowed_leases[word.correlation_id]
-            self.borrowed_leases[word.correlation_id] = BorrowedLease(whom, units + word.units, until)
-        return super().on_message(now, word)
+    def on_message(self, now: float, message: QuotaLeaseMessage) -> QuotaLeaseMessage | None:
+        if not message.is_request and message.correlation_id in self.borrowed_leases:
+            owner, units, expires_at = self.borrowed_leases[message.correlation_id]
+            self.borrowed_leases[message.correlation_id] = BorrowedLease(
+                owner, units + message.units, expires_at
+            )
+        return super().on_message(now, message)
 
 
 class CachesUsableUnits(QuotaLeases):
-    """Usable units are looked up in each round, and not before each use."""
+    """Checks the usable units in each round only, and not before each use."""
 
-    kept = 0
+    last_usable_units = 0
 
-    def wake(self, now: float, there: list[int]) -> tuple:
-        out = super().wake(now, there)
-        self.kept = super().usable_units(now)
+    def wake(self, now: float, reachable: list[int]) -> tuple:
+        out = super().wake(now, reachable)
+        self.last_usable_units = super().usable_units(now)
         return out
 
     def usable_units(self, now: float) -> int:
-        return self.kept or super().usable_units(now)
+        return self.last_usable_units or super().usable_units(now)
 
 
 # Fault scenarios
 
 
 def demand_moves(leases_class: Callable[..., QuotaLeases]) -> QuotaSimulation:
-    """Demand moves from some proxies to others."""
+    """Moves demand from some proxies to others."""
     simulation = QuotaSimulation(4, 1, leases_class)
     for few in ((0,), (1, 2), (3,), (0, 1, 2, 3)):
         simulation.wants = [UNITS if me in few else 0 for me in range(4)]
@@ -113,10 +117,10 @@
 
 
 def owners_restart(
-    leases_class: Callable[..., QuotaLeases], kind: type[QuotaSimulation] = QuotaSimulation
+    leases_class: Callable[..., QuotaLeases], simulation_class: type[QuotaSimulation] = QuotaSimulation
 ) -> QuotaSimulation:
-    """One borrows from all others, which are restarted while its leases run."""
-    simulation = kind(4, 1, leases_class)
+    """Lets one proxy borrow from all others, and restarts those while the leases run."""
+    simulation = simulation_class(4, 1, leases_class)
     simulation.wants = [UNITS, 0, 0, 0]
     simulation.run(8.0)
     simulation.wants = [UNITS] * 4
@@ -133,7 +137,7 @@
         simulation.held_up[other, 0] = 2.5
     simulation.wants = [UNITS, 0, 0]
     simulation.run(6.8)
-    simulation.wants = [UNITS] * 3  # the owners need their units, and the leases expire
+    simulation.wants = [UNITS] * 3  # the owners need their units, so the leases are not renewed
     simulation.cut({(0, 1), (0, 2)})
     simulation.run(20.0)
     return simulation
@@ -147,7 +151,7 @@
 
 
 def borrower_is_stopped(leases_class: Callable[..., QuotaLeases]) -> QuotaSimulation:
-    """One that has borrowed is stopped until its leases have expired, and goes on."""
+    """Stops a proxy that has borrowed until its leases have expired, and resumes it."""
     simulation = QuotaSimulation(4, 1, leases_class)
     simulation.wants = [UNITS, 0, 0, 0]
     simulation.run(8.0)
@@ -158,7 +162,7 @@
 
 
 def late_duplicates_and_lost_renewals(leases_class: Callable[..., QuotaLeases]) -> QuotaSimulation:
-    """All messages are duplicated, some come up to 9 s late, and renewals are lost."""
+    """Duplicates all messages, delays some by up to 9 s, and loses renewals."""
     simulation = QuotaSimulation(3, 1, leases_class, double=1.0, stuck=0.3)
     simulation.run(4.0)
     for _ in range(12):
@@ -216,7 +220,7 @@
     assert most > 0.8 * UNITS  # most of the limit was in use at some time
 
 
-@tries(max_examples=60)
+@hypothesis_settings(max_examples=60)
 @given(
     st.lists(
         st.tuples(
@@ -229,48 +233,50 @@
     )
 )
 def test_usable_units_in_any_order_of_messages_never_exceed_limit(steps: list) -> None:
-    """Three proxies; each message is delivered, duplicated, lost or delayed as the example says."""
-    now, air = 0.0, []
-    fleet = [QuotaLeases(0, me, 50 + me, 3, 0.0, LEASE, 0.0, Random(me)) for me in range(3)]
-    for me, wants, later, what in steps:
-        now += later
-        if what == "restart":
+    """Each message between three proxies is delivered, duplicated, lost or delayed as drawn."""
+    now, in_transit = 0.0, []
+    fleet = [QuotaLeases(0, me, 50 + me, 3, 0.0, LEASE_S, 0.0, Random(me)) for me in range(3)]
+    for me, demand, delay_s, action in steps:
+        now += delay_s
+        if action == "restart":
             incarnation = 100 + round(now * 1000) * 3 + me
-            fleet[me] = QuotaLeases(0, me, incarnation, 3, now, LEASE, 0.0, Random(incarnation))
-        fleet[me].set_demand(wants * UNITS // 2)
-        air += fleet[me].wake(now, [0, 1, 2])[0]
-        if air and what != "want":
-            to, word = air.pop(0) if what != "later" else air[0]
-            for _ in range({"lose": 0, "double": 2}.get(what, 1)):
-                answer = fleet[to].on_message(now, word)
+            fleet[me] = QuotaLeases(0, me, incarnation, 3, now, LEASE_S, 0.0, Random(incarnation))
+        fleet[me].set_demand(demand * UNITS // 2)
+        in_transit += fleet[me].wake(now, [0, 1, 2])[0]
+        if in_transit and action != "want":
+            to, message = in_transit.pop(0) if action != "later" else in_transit[0]
+            for _ in range({"lose": 0, "double": 2}.get(action, 1)):
+                answer = fleet[to].on_message(now, message)
                 if answer is not None:
-                    air.append((word.sender, answer))
-        assert sum(one.usable_units(now) for one in fleet) <= UNITS
+                    in_transit.append((message.sender, answer))
+        assert sum(leases.usable_units(now) for leases in fleet) <= UNITS
 
 
 @pytest.mark.parametrize(("fleet", "few"), [(8, 1), (8, 2), (24, 2), (200, 4)])
 def test_units_follow_demand_within_stated_time_and_return(fleet: int, few: int) -> None:
     simulation = QuotaSimulation(fleet, 1)
-    simulation.run(2 * grant_duration(LEASE, DRIFT))
+    simulation.run(2 * grant_duration(LEASE_S, DRIFT))
     simulation.wants = [UNITS // few if me < few else 0 for me in range(fleet)]
-    times = min(MAX_BORROWED_LEASES, (fleet - few) / few)  # its own units, that each may borrow
+    times = min(
+        MAX_BORROWED_LEASES, (fleet - few) / few
+    )  # multiple of its own units that each proxy with demand may borrow
     simulation.run(
         simulation.now
         + (times / MAX_LENT_FRACTION) / REQUESTS_PER_ROUND * ROUND_INTERVAL_S * 2.0
         + 2 * ROUND_INTERVAL_S
     )
     own = UNITS // fleet
-    got = sum(part for me, part in simulation.usable_units().items() if me < few) / few
-    assert got >= 0.9 * own * (1.0 + MAX_LENT_FRACTION * times)
+    mean_units = sum(units for me, units in simulation.usable_units().items() if me < few) / few
+    assert mean_units >= 0.9 * own * (1.0 + MAX_LENT_FRACTION * times)
     simulation.wants = [0 if me < few else own for me in range(fleet)]
-    simulation.run(simulation.now + LEASE / 2.0 + grant_duration(LEASE, DRIFT) + ROUND_INTERVAL_S)
-    assert min(part for me, part in simulation.usable_units().items() if me >= few) == own
+    simulation.run(simulation.now + LEASE_S / 2.0 + grant_duration(LEASE_S, DRIFT) + ROUND_INTERVAL_S)
+    assert min(units for me, units in simulation.usable_units().items() if me >= few) == own
     assert simulation.over == 0.0
 
 
 @pytest.mark.parametrize(("fleet", "few", "most"), [(8, 1, 0.07), (24, 3, 0.06), (24, 24, 0.06)])
 def test_rate_units_with_uneven_demand_are_mostly_used(fleet: int, few: int, most: float) -> None:
-    """Few proxies have demand for five times the rate; or all, unevenly, for a fifth more than the rate."""
+    """Some proxies have demand for five times the rate, or all of them, unevenly, for 1.2 times the rate."""
     simulation, random_generator = QuotaSimulation(fleet, 1, RateQuotaLeases), Random(2)
     simulation.run(7.0)
     weights = [
@@ -279,25 +285,25 @@
     times = 1.2 if few == fleet else 5.0
     simulation.wants = [int(times * UNITS * weight / sum(weights)) for weight in weights]
     simulation.run(simulation.now + 4.0)
-    seen = []
+    unused_fractions = []
     for _ in range(40):
         simulation.run(simulation.now + 0.25)
-        seen.append(simulation.unused)
-    assert sum(seen) / len(seen) < most
+        unused_fractions.append(simulation.unused)
+    assert sum(unused_fractions) / len(unused_fractions) < most
     assert simulation.over == 0.0
 
 
 def test_rate_units_with_tenth_of_messages_lost_are_mostly_used() -> None:
-    """Requests that aren't answered are sent again, or leases would expire for a lost message."""
+    """Unanswered requests are resent; otherwise leases would expire because of one lost message."""
     simulation = QuotaSimulation(50, 1, RateQuotaLeases, loss=0.1)
     simulation.run(7.0)
     simulation.wants = [UNITS // 5 if me < 5 else 0 for me in range(50)]
     simulation.run(simulation.now + 3.0)
-    seen = []
+    unused_fractions = []
     for _ in range(60):
         simulation.run(simulation.now + 0.25)
-        seen.append(simulation.unused)
-    assert sum(seen) / len(seen) < 0.12
+        unused_fractions.append(simulation.unused)
+    assert sum(unused_fractions) / len(unused_fractions) < 0.12
     assert simulation.over == 0.0
 
 
@@ -308,7 +314,7 @@
     simulation.wants = [0, *[UNITS] * 7]
     simulation.cut({(a, b) for a in range(8) for b in range(8)})
     assert min(simulation.usable_units().values()) >= int((1.0 - MAX_LENT_FRACTION) * (UNITS // 8))
-    simulation.run(simulation.now + grant_duration(LEASE, DRIFT) + 0.1)
+    simulation.run(simulation.now + grant_duration(LEASE_S, DRIFT) + 0.1)
     assert set(simulation.usable_units().values()) == {UNITS // 8}
 
 
@@ -321,34 +327,43 @@
 
 
 def test_lease_in_fleet_of_five_thousand_is_granted() -> None:
-    borrower, owner = (QuotaLeases(0, me, 5 + me, 5000, 0.0, LEASE, DRIFT, Random(me)) for me in range(2))
+    borrower, owner = (QuotaLeases(0, me, 5 + me, 5000, 0.0, LEASE_S, DRIFT, Random(me)) for me in range(2))
     borrower.set_demand(10 * borrower.own_units)
-    (_, ask), *_ = borrower.wake(5.0, [1])[0]
+    (_, request), *_ = borrower.wake(5.0, [1])[0]
     before = borrower.usable_units(5.0)
-    borrower.on_message(5.1, owner.on_message(5.05, ask))
+    borrower.on_message(5.1, owner.on_message(5.05, request))
     assert borrower.usable_units(5.1) >= before + 0.7 * owner.own_units
     assert owner.usable_units(5.1) < 0.3 * owner.own_units
 
 
 def test_answer_to_no_request_or_with_more_than_requested_is_ignored() -> None:
-    one = QuotaLeases(0, 0, 5, 4, 0.0, LEASE, DRIFT, Random(1))
-    one.set_demand(UNITS)
-    asks, _ = one.wake(0.0, [1, 2, 3])
-    to, ask = asks[0]
-    before = one.usable_units(0.0)
-    one.on_message(
-        0.1, QuotaLeaseMessage(False, to, 9, ask.correlation_id + 1, 0, MIN_LEASE_UNITS, ask.request_number)
+    leases = QuotaLeases(0, 0, 5, 4, 0.0, LEASE_S, DRIFT, Random(1))
+    leases.set_demand(UNITS)
+    requests, _ = leases.wake(0.0, [1, 2, 3])
+    to, request = requests[0]
+    before = leases.usable_units(0.0)
+    leases.on_message(
+        0.1,
+        QuotaLeaseMessage(
+            False, to, 9, request.correlation_id + 1, 0, MIN_LEASE_UNITS, request.request_number
+        ),
     )
-    one.on_message(
+    leases.on_message(
         0.1,
-        QuotaLeaseMessage(False, (to + 1) % 4, 9, ask.correlation_id, 0, MIN_LEASE_UNITS, ask.request_number),
+        QuotaLeaseMessage(
+            False, (to + 1) % 4, 9, request.correlation_id, 0, MIN_LEASE_UNITS, request.request_number
+        ),
     )
-    one.on_message(
-        0.1, QuotaLeaseMessage(False, to, 9, ask.correlation_id, 0, MIN_LEASE_UNITS, ask.request_number + 1)
+    leases.on_message(
+        0.1,
+        QuotaLeaseMessage(
+            False, to, 9, request.correlation_id, 0, MIN_LEASE_UNITS, request.request_number + 1
+        ),
     )
-    assert one.usable_units(0.1) == before
-    one.on_message(
-        0.1, QuotaLeaseMessage(False, to, 9, ask.correlation_id, 0, ask.units * 2, ask.request_number)
+    assert leases.usable_units(0.1) == before
+    leases.on_message(
+        0.1,
+        QuotaLeaseMessage(False, to, 9, request.correlation_id, 0, request.units * 2, request.request_number),
     )
-    assert one.usable_units(0.1) == before
-    assert not one.borrowed_leases
+    assert leases.usable_units(0.1) == before
+    assert not leases.borrowed_leases
--- a/tests/test_rate_slots.py
+++ b/tests/test_rate_slots.py
@@ -1,11 +1,11 @@
-"""Rate slot leases and in-flight quotas: simulations, planted defects, and a single proxy."""
+"""Rate slot leases and in-flight quotas: simulations, planted defects and a single proxy."""
 
 from collections.abc import Callable
 from random import Random
 
 import pytest
 from helpers import ProxyHarness, encode_request
-from test_limits import Lending
+from test_limits import QuotaHarness
 from test_quota_leases import owners_restart
 
 from calicofall.fleet.in_flight_quota import MAX_CREDIT_S, InFlightQuota
@@ -28,25 +28,28 @@
 
 
 class UsesLentSlots(RateSlots):
-    """An owner uses slots that it has lent."""
+    """Uses slots that it has lent."""
 
     def usable_slots(self, now: float) -> list:
         self.usable_units(now)
         return [
             *((self.own_id, slot) for slot in range(SLOTS_PER_PROXY)),
-            *((whom, self.borrowed_slots[mark]) for mark, (whom, _, _) in self.borrowed_leases.items()),
+            *(
+                (owner, self.borrowed_slots[lease_id])
+                for lease_id, (owner, _, _) in self.borrowed_leases.items()
+            ),
         ]
 
 
 class LendsOneSlotTwice(RateSlots):
-    """All leases are of one slot."""
+    """Lends the same slot in all leases."""
 
-    def _choose_slot(self, word: QuotaLeaseMessage) -> int:
-        return self.granted_slots.setdefault((word.sender, word.incarnation, word.correlation_id), 1)
+    def _choose_slot(self, message: QuotaLeaseMessage) -> int:
+        return self.granted_slots.setdefault((message.sender, message.incarnation, message.correlation_id), 1)
 
 
 class IgnoresFormerIncarnation(RateSlots):
-    """A new incarnation uses all of its own slots at once."""
+    """Uses all of its own slots from the start, though a former incarnation may have lent some."""
 
     def __init__(self, *values: object) -> None:
         super().__init__(*values)
@@ -54,7 +57,7 @@
 
 
 class NeverChecksSlots(RateSlots):
-    """A slot is used without a check whether it is over, or still ours."""
+    """Uses a slot without checking whether it is over or no longer its own."""
 
     def may_use(self, grid: TimeSlots, at: float, now: float) -> bool:
         return True
@@ -78,7 +81,7 @@
 
 
 def all_are_stopped(slots_class: Callable[..., RateSlots]) -> RateSlotSimulation:
-    """All are stopped while they wait for their slots, and resumed together."""
+    """Stops all proxies while they wait for their slots, and resumes them together."""
     simulation = RateSlotSimulation(40, 1, slots_class)
     simulation.wants = [UNITS] * 40
     simulation.run(6.0)
@@ -123,7 +126,7 @@
 
 
 class IgnoresGainedAt(OriginFetchSlots):
-    """Uses slots whose moments were another proxy's."""
+    """Uses slots that another proxy had at their time."""
 
     def due_at(self, now: float) -> float:
         self.rate_slots.gained_at = -1e9
@@ -161,12 +164,12 @@
     simulation.run(7.0)
     simulation.wants = [UNITS // few if me < few else 0 for me in range(fleet)]
     simulation.run(14.0)
-    got = sum(at >= 11.0 for at in simulation.taken_at) / 3.0
+    slots_per_s = sum(at >= 11.0 for at in simulation.taken_at) / 3.0
     most = min(
         400.0,
         few * 400.0 / fleet * (1.0 + min(MAX_BORROWED_LEASES / SLOTS_PER_PROXY, 0.75 * (fleet - few) / few)),
     )
-    assert got >= 0.9 * most
+    assert slots_per_s >= 0.9 * most
     simulation.wants = [UNITS // fleet] * fleet
     simulation.run(24.0)
     assert sum(at >= 22.0 for at in simulation.taken_at) / 2.0 >= 0.95 * 400.0
@@ -174,37 +177,42 @@
 
 
 def test_first_slot_is_never_lent_and_invalid_lease_of_it_is_ignored() -> None:
-    turns = RateSlots(0, 0, 5, 4, 0.0, 3.0, 0.01, Random(1))
-    turns.set_demand(turns.total)
-    (whom, asked), *_ = turns.wake(4.0, [1, 2, 3])[0]
-    for which in (0, SLOTS_PER_PROXY):
-        turns.on_message(
-            4.1, QuotaLeaseMessage(False, whom, 9, asked.correlation_id, 0, 1, asked.request_number, which)
+    rate_slots = RateSlots(0, 0, 5, 4, 0.0, 3.0, 0.01, Random(1))
+    rate_slots.set_demand(rate_slots.total)
+    (owner, request), *_ = rate_slots.wake(4.0, [1, 2, 3])[0]
+    for slot in (0, SLOTS_PER_PROXY):
+        rate_slots.on_message(
+            4.1,
+            QuotaLeaseMessage(False, owner, 9, request.correlation_id, 0, 1, request.request_number, slot),
         )
-        assert len(turns.usable_slots(4.1)) == SLOTS_PER_PROXY
-        turns.pending_requests[asked.correlation_id] = PendingRequest(whom, 1, {asked.request_number: 4.0})
-    turns.on_message(
-        4.1, QuotaLeaseMessage(False, whom, 9, asked.correlation_id, 0, 1, asked.request_number, 2)
+        assert len(rate_slots.usable_slots(4.1)) == SLOTS_PER_PROXY
+        rate_slots.pending_requests[request.correlation_id] = PendingRequest(
+            owner, 1, {request.request_number: 4.0}
+        )
+    rate_slots.on_message(
+        4.1, QuotaLeaseMessage(False, owner, 9, request.correlation_id, 0, 1, request.request_number, 2)
     )
-    assert (whom, 2) in turns.usable_slots(4.1)
-    lender = RateSlots(0, 1, 6, 4, 0.0, 3.0, 0.01, Random(1))
-    lent = [lender.on_message(4.0, QuotaLeaseMessage(True, 0, 5, mark, 0, 3)) for mark in range(5)]
-    assert [(word.units, word.slot) for word in lent] == [(1, 1), (1, 2), (1, 3), (0, 0), (0, 0)]
-    assert lender.usable_slots(4.0) == {(1, 0)}
+    assert (owner, 2) in rate_slots.usable_slots(4.1)
+    owner_slots = RateSlots(0, 1, 6, 4, 0.0, 3.0, 0.01, Random(1))
+    answers = [
+        owner_slots.on_message(4.0, QuotaLeaseMessage(True, 0, 5, lease_id, 0, 3)) for lease_id in range(5)
+    ]
+    assert [(message.units, message.slot) for message in answers] == [(1, 1), (1, 2), (1, 3), (0, 0), (0, 0)]
+    assert owner_slots.usable_slots(4.0) == {(1, 0)}
 
 
 def test_origin_slots_not_used_expire_and_fleet_stays_within_rate() -> None:
-    """Thirty proxies that send whenever they may; then all again after a pause, at one moment."""
+    """Thirty proxies send whenever they may, and again after a pause that ends for all at one time."""
     sent: list[float] = []
-    ones = [
+    fleet_slots = [
         OriginFetchSlots(RateSlots(0, me, 1, 30, 0.0, 0.0, 0.0, Random(me)), 60.0, 50.0, 7_000.0)
         for me in range(30)
     ]
     for step in range(4000):
         now = 50.0 + step * 0.003
-        for one in ones if now < 54.0 or now > 60.0 else ():
-            if one.due_at(now) <= now:
-                one.take(now)
+        for origin_slots in fleet_slots if now < 54.0 or now > 60.0 else ():
+            if origin_slots.due_at(now) <= now:
+                origin_slots.take(now)
                 sent.append(now)
     assert most_in_span(sent)[0] <= 60.0 * (1.0 + SLOT_LATENESS_S) + 1
     assert len([at for at in sent if at < 54.0]) >= 0.9 * 60.0 * 4.0
@@ -215,90 +223,90 @@
 
 def test_in_flight_requests_never_exceed_quota_and_on_average_for_quota_under_one() -> None:
     random_generator = Random(4)
-    flights, out = InFlightQuota(3.9, random_generator), []
+    quota, end_times = InFlightQuota(3.9, random_generator), []
     for step in range(3000):
         now = step * 0.01
-        out = [end for end in out if end > now or flights.end(now, "c1")]
-        while flights.try_begin(now, "c1"):
-            out.append(now + random_generator.uniform(0.01, 0.5))
-        assert len(out) == 3 == flights.max_in_flight()
-    assert flights.demand(30.0) > 3.9
-    few, held, ends = InFlightQuota(0.2, random_generator), 0.0, 0.0
+        end_times = [end for end in end_times if end > now or quota.end(now, "c1")]
+        while quota.try_begin(now, "c1"):
+            end_times.append(now + random_generator.uniform(0.01, 0.5))
+        assert len(end_times) == 3 == quota.max_in_flight()
+    assert quota.demand(30.0) > 3.9
+    small_quota, in_flight_s, ends_at = InFlightQuota(0.2, random_generator), 0.0, 0.0
     for step in range(6000):
         now = step * 0.01
-        if ends and now >= ends:
-            few.end(now, "c1")
-            ends = 0.0
-        if not ends and few.try_begin(now, "c1"):
-            ends = now + random_generator.uniform(0.01, 0.2)
-        held += 0.01 * bool(ends)
-    assert 0.15 * 60.0 <= held <= 0.2 * (60.0 + MAX_CREDIT_S) + 0.2
+        if ends_at and now >= ends_at:
+            small_quota.end(now, "c1")
+            ends_at = 0.0
+        if not ends_at and small_quota.try_begin(now, "c1"):
+            ends_at = now + random_generator.uniform(0.01, 0.2)
+        in_flight_s += 0.01 * bool(ends_at)
+    assert 0.15 * 60.0 <= in_flight_s <= 0.2 * (60.0 + MAX_CREDIT_S) + 0.2
 
 
 def test_endpoint_with_exhausted_quota_is_not_degraded_and_next_one_is_used() -> None:
-    harness = Lending(inFlight=4.0, lendS=None).with_high_limits()
+    harness = QuotaHarness(inFlight=4.0, lendS=None).with_high_limits()
     assert harness.proxy.upstreams.in_flight_quota.share == 1.0
     client = harness.client()
     for _ in range(6):
         client.feed(encode_request("read", key=7))
     harness.loop.advance(0.05)
-    counts = [one.in_flight for one in harness.proxy.upstreams.in_flight_quota.endpoints.values()]
+    counts = [usage.in_flight for usage in harness.proxy.upstreams.in_flight_quota.endpoints.values()]
     assert max(counts) == 1
     assert sum(counts) == 3
     assert not harness.proxy.router.degraded_endpoints(harness.proxy.now_ms())
 
 
 def test_cancelled_request_is_in_flight_until_its_connection_is_closed() -> None:
-    harness = Lending(inFlight=400.0).with_high_limits()
+    harness = QuotaHarness(inFlight=400.0).with_high_limits()
     client = harness.client()
     client.feed(encode_request("read"))
     harness.loop.advance(0.05)
-    flights = harness.proxy.upstreams.in_flight_quota
-    assert flights.max_in_flight() == 1
+    quota = harness.proxy.upstreams.in_flight_quota
+    assert quota.max_in_flight() == 1
     client.abort()
     harness.loop.advance(3.0)
-    assert flights.max_in_flight() == 0
+    assert quota.max_in_flight() == 0
 
 
 def test_lease_that_ends_before_a_request_may_does_not_count() -> None:
-    harness = Lending(inFlight=64.0).with_high_limits()
+    harness = QuotaHarness(inFlight=64.0).with_high_limits()
     harness.loop.advance(4.0)
-    limits, flights, one = (
-        harness.limits,
+    enforcement, quota, limit_id = (
+        harness.enforcement,
         harness.proxy.upstreams.in_flight_quota,
         peer_messages.name_digest(IN_FLIGHT_LIMIT),
     )
-    limits.refresh()
-    own = flights.share
-    assert own == pytest.approx(16.0)
-    parts = limits.leases[one]
-    parts.borrowed_leases[7] = BorrowedLease(
-        1, UNITS // 8, harness.loop.time() + limits.longest_request_s + 0.5
+    enforcement.refresh()
+    own_share = quota.share
+    assert own_share == pytest.approx(16.0)
+    leases = enforcement.leases[limit_id]
+    leases.borrowed_leases[7] = BorrowedLease(
+        1, UNITS // 8, harness.loop.time() + enforcement.longest_request_s + 0.5
     )
-    limits.refresh()
-    assert flights.share == pytest.approx(24.0)
+    enforcement.refresh()
+    assert quota.share == pytest.approx(24.0)
     harness.loop.advance(0.6)
-    limits.refresh()
-    assert flights.share == pytest.approx(16.0)
-    assert parts.usable_units(harness.loop.time()) > UNITS // 4
+    enforcement.refresh()
+    assert quota.share == pytest.approx(16.0)
+    assert leases.usable_units(harness.loop.time()) > UNITS // 4
 
 
 def test_units_in_flight_are_not_lent() -> None:
-    harness = Lending(inFlight=8.0).with_high_limits()
+    harness = QuotaHarness(inFlight=8.0).with_high_limits()
     harness.loop.advance(4.0)
     client = harness.client()
     for key in range(40):
         client.feed(encode_request("read", key=key))
     harness.loop.advance(0.02)
     assert harness.proxy.upstreams.in_flight_quota.max_in_flight() == 2
-    harness.limits.on_message(
+    harness.enforcement.on_message(
         QuotaLeaseMessage(True, 2, 9, 77, peer_messages.name_digest(IN_FLIGHT_LIMIT), UNITS // 8)
     )
-    assert harness.said[-1][1].units == 0
+    assert harness.sent_messages[-1][1].units == 0
 
 
 def test_slots_and_in_flight_quota_are_shown_to_operators_and_requested() -> None:
-    harness = Lending(handshakesPerS=4.0, fetchesPerS=2.0, inFlight=64.0).with_high_limits()
+    harness = QuotaHarness(handshakesPerS=4.0, fetchesPerS=2.0, inFlight=64.0).with_high_limits()
     lines = harness.proxy.handle_call("limits")
     assert all(
         f"limit.{name}:part=" in lines for name in (HANDSHAKE_SLOTS, ORIGIN_FETCH_SLOTS, IN_FLIGHT_LIMIT)
@@ -308,13 +316,13 @@
     for key in range(30):
         client.feed(encode_request("read", key=key))
     harness.loop.advance(0.01)
-    harness.limits.wake()
-    asked = {word.limit_id for _, word in harness.said}
-    assert peer_messages.name_digest(ORIGIN_FETCH_SLOTS) in asked
+    harness.enforcement.wake()
+    requested_limits = {message.limit_id for _, message in harness.sent_messages}
+    assert peer_messages.name_digest(ORIGIN_FETCH_SLOTS) in requested_limits
 
 
 def test_requests_that_may_need_origin_wait_for_slots() -> None:
-    harness = Lending(fetchesPerS=4.0, lendS=None)  # one a second at this proxy
+    harness = QuotaHarness(fetchesPerS=4.0, lendS=None)  # one request per second at this proxy
     client = harness.client()
     harness.loop.advance(2.0)
     sends = harness.proxy.metrics.attempts_sent
@@ -325,6 +333,6 @@
     assert policy.origin_limit.next_start_at > harness.proxy.now_ms()
     assert len([c for c in harness.proxy.active_requests.values() if c.command is not None]) <= 1
     assert harness.proxy.metrics.attempts_sent - sends <= 1
-    untold = ProxyHarness()
-    assert untold.proxy.router.origin_slots is None
-    assert untold.proxy.router.policy.origin_limit.next_start_at == 0.0
+    without_limit = ProxyHarness()
+    assert without_limit.proxy.router.origin_slots is None
+    assert without_limit.proxy.router.policy.origin_limit.next_start_at == 0.0
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings documents: what binds, how changes are made in steps, and errors of one line."""
+"""Settings documents: binding fields, changes in steps, and errors of one line."""
 
 import json
 from collections.abc import Mapping, Sequence
@@ -36,7 +36,7 @@
     "group": ["all", "zone", "cell"],
     "windowNs": [1_000_000_000, 5_000_000_000],
 }
-# What a method may do, by the field that may forbid it: a place, a kind of repeat, a span.
+# By field, the actions of a method that the field may forbid: places, kinds of repeats, durations.
 ACTIONS: Mapping[str, Sequence[Any]] = {
     "kindsOpen": ["box", "disk"],
     "failureDomainsOnly": ["a", "b", "c"],
@@ -47,7 +47,7 @@
 
 
 def allows(method: dict[str, Any], name: str, action: Any) -> bool:
-    """Whether a method's settings allow an action, as far as one field is concerned."""
+    """Returns whether one field of a method's settings allows an action."""
     value = method.get(name)
     if name in ("kindsOpen", "failureDomainsOnly"):
         return value is None or action in value
@@ -57,8 +57,8 @@
     return order.index(str(value)) <= order.index(action)
 
 
-def closes_a_method(before: Settings, after: Settings) -> bool:
-    """Whether a method is left no place while some proxies act on each of two settings."""
+def leaves_a_method_without_place(before: Settings, after: Settings) -> bool:
+    """Returns whether some method has no place left while proxies act on two versions."""
     return any(has_no_place(method) for method in combine_settings(before, after)["methods"])
 
 
@@ -80,40 +80,46 @@
 
 
 @pytest.mark.parametrize("name", FIELD_VALUES)
-def test_both_of_two_versions_allows_what_each_allows_and_nothing_else(name: str) -> None:
+def test_combination_of_two_versions_allows_what_both_allow_and_nothing_else(name: str) -> None:
     for older, newer in product(FIELD_VALUES[name], repeat=2):
-        a = settings_with(read={name: older})
-        b = settings_with(read={name: newer})
+        older_settings = settings_with(read={name: older})
+        newer_settings = settings_with(read={name: newer})
 
-        combined = combine_settings(a, b)["methods"][0]
+        combined = combine_settings(older_settings, newer_settings)["methods"][0]
 
         for action in ACTIONS[name]:
             assert allows(combined, name, action) == (
-                allows(a["methods"][0], name, action) and allows(b["methods"][0], name, action)
+                allows(older_settings["methods"][0], name, action)
+                and allows(newer_settings["methods"][0], name, action)
             )
-        assert bool(contradictions(a, b)) == (older != newer)
+        assert bool(contradictions(older_settings, newer_settings)) == (older != newer)
 
 
-def test_field_that_does_not_bind_is_the_newer_ones_and_a_fixed_one_takes_a_restart() -> None:
-    a = settings_with()
-    b = settings_with(read={"gain": 9.0}) | {"kinds": ["other"]}
-    before = parse_document(document_text({"version": 2, "after": 1, "settings": a}))
-    after = parse_document(document_text({"version": 3, "after": 2, "settings": b}))
+def test_field_that_does_not_bind_has_the_newer_value_and_a_fixed_one_takes_a_restart() -> None:
+    older_settings = settings_with()
+    newer_settings = settings_with(read={"gain": 9.0}) | {"kinds": ["other"]}
+    before = parse_document(document_text({"version": 2, "after": 1, "settings": older_settings}))
+    after = parse_document(document_text({"version": 3, "after": 2, "settings": newer_settings}))
 
-    assert combine_settings(a, b)["methods"][0]["gain"] == 9.0
-    assert contradictions(a, b) == []
+    assert combine_settings(older_settings, newer_settings)["methods"][0]["gain"] == 9.0
+    assert contradictions(older_settings, newer_settings) == []
     assert "kinds: takes a restart" in succession_errors(before, after)
 
 
-def test_both_of_numbers_that_bind_is_the_stricter_in_either_order() -> None:
-    a = COMMON_SETTINGS | {"caps": COMMON_SETTINGS["caps"] | {"mostTransmissions": 2, "secondCopies": True}}
-    b = COMMON_SETTINGS | {
+def test_combination_of_binding_numbers_is_the_stricter_one_in_either_order() -> None:
+    older_settings = COMMON_SETTINGS | {
+        "caps": COMMON_SETTINGS["caps"] | {"mostTransmissions": 2, "secondCopies": True}
+    }
+    newer_settings = COMMON_SETTINGS | {
         "caps": COMMON_SETTINGS["caps"] | {"mostTransmissions": 5},
         "realms": [{"name": "acme", "quotaPerS": 3.0}],
         "rules": COMMON_SETTINGS["rules"] | {"coldNs": 9, "startCapacity": 0.9},
     }
 
-    for combined in (combine_settings(a, b), combine_settings(b, a)):
+    for combined in (
+        combine_settings(older_settings, newer_settings),
+        combine_settings(newer_settings, older_settings),
+    ):
         assert combined["caps"]["mostTransmissions"] == 2
         assert combined["realms"][0]["quotaPerS"] == 3.0
         assert combined["rules"]["coldNs"] == 20_000_000_000
@@ -121,35 +127,35 @@
         assert not combined["caps"].get("secondCopies")
 
 
-def test_steps_for_a_method_that_would_be_left_no_place_widen_it_first() -> None:
-    a = settings_with(read={"failureDomainsOnly": ["a"]})
-    b = settings_with(read={"failureDomainsOnly": ["b"]})
+def test_steps_for_a_method_that_would_have_no_place_left_widen_it_first() -> None:
+    older_settings = settings_with(read={"failureDomainsOnly": ["a"]})
+    newer_settings = settings_with(read={"failureDomainsOnly": ["b"]})
     wider = settings_with(read={"failureDomainsOnly": ["a", "c"]})
-    assert has_no_place(combine_settings(a, b)["methods"][0])
+    assert has_no_place(combine_settings(older_settings, newer_settings)["methods"][0])
 
-    plan = publication_steps(a, b)
+    plan = publication_steps(older_settings, newer_settings)
 
     assert [step["methods"][0]["failureDomainsOnly"] for step in plan] == [["a", "b"], ["b"]]
-    for before, after in zip([a, *plan], plan, strict=False):
-        assert not closes_a_method(before, after)
-    assert publication_steps(a, wider) == [wider]
+    for before, after in zip([older_settings, *plan], plan, strict=False):
+        assert not leaves_a_method_without_place(before, after)
+    assert publication_steps(older_settings, wider) == [wider]
 
 
 def test_steps_for_a_promise_that_would_be_broken_withdraw_it_first() -> None:
-    a = settings_with(read={"keeps": ["place", "repeats"]})
-    b = settings_with(read={"keeps": ["repeats"], "kindsOpen": ["box"]})
-    assert broken_promises(a, b) == ["methods.read: place"]
+    older_settings = settings_with(read={"keeps": ["place", "repeats"]})
+    newer_settings = settings_with(read={"keeps": ["repeats"], "kindsOpen": ["box"]})
+    assert broken_promises(older_settings, newer_settings) == ["methods.read: place"]
 
-    plan = publication_steps(a, b)
+    plan = publication_steps(older_settings, newer_settings)
 
     assert plan[0]["methods"][0]["keeps"] == ["repeats"]
-    assert plan[-1] == b
+    assert plan[-1] == newer_settings
     assert len(plan) == 2
-    for before, after in zip([a, *plan], plan, strict=False):
+    for before, after in zip([older_settings, *plan], plan, strict=False):
         assert not broken_promises(before, after)
 
 
-def test_steps_for_random_changes_break_no_promise_and_close_no_method() -> None:
+def test_steps_for_random_changes_break_no_promise_and_leave_each_method_a_place() -> None:
     rng = Random(3)
 
     def draw_method() -> dict[str, Any]:
@@ -160,20 +166,20 @@
         return settings_with(**{name: draw_method() for name in ("read", "save", "order")})
 
     for _ in range(300):
-        a = draw_settings()
-        b = draw_settings()
+        older_settings = draw_settings()
+        newer_settings = draw_settings()
 
-        plan = publication_steps(a, b)
+        plan = publication_steps(older_settings, newer_settings)
 
-        assert plan[-1] == b
+        assert plan[-1] == newer_settings
         assert len(plan) <= 3
-        for before, after in zip([a, *plan], plan, strict=False):
+        for before, after in zip([older_settings, *plan], plan, strict=False):
             assert not broken_promises(before, after)
-            assert not closes_a_method(before, after)
+            assert not leaves_a_method_without_place(before, after)
 
 
-def test_settings_without_a_lease_allow_what_promises_allow() -> None:
-    """Nothing is sent of a method that keeps no place; one that does goes on, unless it is refused."""
+def test_settings_without_a_lease_allow_only_what_is_promised() -> None:
+    """A method that does not promise place is refused; one that does is served, unless `lapsed` is refuse."""
     restricted = restrict_without_lease(
         settings_with(
             read={"keeps": ["place", "repeats"]},
@@ -224,13 +230,13 @@
         pytest.param({"digest": "00"}, "digest", 1, id="other digest"),
     ],
 )
-def test_check_of_a_wrong_document_prints_one_line_with_line_and_field(
+def test_check_of_an_invalid_document_prints_one_line_with_line_and_field(
     changes: dict[str, Any], field: str, line: int, tmp_path: Path
 ) -> None:
     file = tmp_path / "wrong.json"
     if "digest" in changes:
-        good = document_text()
-        file.write_text(good.replace(json.loads(good)["digest"], "00"))
+        valid_text = document_text()
+        file.write_text(valid_text.replace(json.loads(valid_text)["digest"], "00"))
     else:
         file.write_text(document_text(changes))
 
@@ -245,24 +251,24 @@
 
 def test_parse_of_mangled_text_raises_nothing_but_an_error_of_one_line() -> None:
     rng = Random(4)
-    good = document_text()
-    expected = parse_document(good)
+    valid_text = document_text()
+    expected = parse_document(valid_text)
 
     for number in range(400):
-        place = rng.randrange(len(good))
-        other = good[:place] + rng.choice('{}[]",0x') + good[place + 1 :]
-        mangled = [good[:place], other, "[]", "", "7"][number % 5]
+        position = rng.randrange(len(valid_text))
+        mutated = valid_text[:position] + rng.choice('{}[]",0x') + valid_text[position + 1 :]
+        mangled = [valid_text[:position], mutated, "[]", "", "7"][number % 5]
         try:
             document = parse_document(mangled)
         except InvalidDocument as error:
             message = str(error)
         else:
             message = ""
-            assert document == expected  # what changed was white space
+            assert document == expected  # the mutation was in white space
         assert "\n" not in message
 
 
-def test_parse_of_a_wrong_field_raises_an_error_with_field_and_expectation() -> None:
+def test_parse_of_an_invalid_field_raises_an_error_with_field_and_expectation() -> None:
     with pytest.raises(settings_document.InvalidFieldError) as raised:
         parse_document(document_text({"lease": {"s": 0.1}}))
 
@@ -290,7 +296,7 @@
 # The command line
 
 
-def test_publish_by_two_at_once_succeeds_for_one_and_tells_the_other(tmp_path: Path) -> None:
+def test_publish_by_two_at_once_succeeds_for_one_and_is_reported_to_the_other(tmp_path: Path) -> None:
     file = tmp_path / "new.json"
     runner = CliRunner()
     file.write_text(document_text({"version": 3, "after": 2}))
