--- a/calicofall/fleet/configuration_agreement.py
+++ b/calicofall/fleet/configuration_agreement.py
@@ -15,8 +15,8 @@
 States of an instance and transitions:
     silent: the incarnation is younger than the grant duration. It responds to requests, but grants no lease.
         The state ends by time.
-    without a lease: there is a version held of whose voters no quorum has reported, within the duration of a
-        lease, that it knows no higher version. The proxy does only what promises allow
+    without a lease: for some version held, no quorum of its voters has reported within the duration of a
+        lease that it knows no higher version. The proxy does only what promises allow
         (settings_compatibility.py). Responses of the voters change the state to leased.
     leased: the proxy does what all versions allow from the one in effect to the highest one held. The state
         changes to without a lease by time, or at once when a version becomes known that is not held. After
@@ -156,7 +156,7 @@
         self.highest_held = 0
         self.in_effect = 0
         self.grants_leases = False
-        self.requested_at = -inf  # when the request was sent whose response counted last
+        self.requested_at = -inf  # when the request was sent to which the last counted response belongs
         self.first_held_at: dict[int, float] = {}  # by version, when the member first reported to hold it
 
     def update(self, now: float, requested_at: float, message: AgreementMessage) -> None:
