--- a/calicofall/proxy/server.py
+++ b/calicofall/proxy/server.py
@@ -1,9 +1,9 @@
 """The proxy: joins clients, the router, upstream connections and discovery on one event loop.
 
-It owns the clock, the way of each request from command to answer, and the way out on SIGTERM. Where a request
-goes and what becomes of it is the router's to say.
+It owns the clock, takes each request from the client's command to the final answer, and shuts down on
+SIGTERM. The router decides which endpoint a request is sent to and how it ends.
 
-Invariants: a request that was taken gets exactly one final answer; nothing is sent for one that is over.
+Invariants: an accepted request gets exactly one final answer; nothing is sent for a finished request.
 """
 
 import asyncio
@@ -66,24 +66,30 @@
 from calicofall.startup.phases import StartupPhases
 from calicofall.startup.time_slots import TimeSlots
 
-MAX_PROXIES_OPENING_AHEAD = 7  # in larger fleets connections opened ahead would crowd the endpoints
-RESERVED_DESCRIPTORS = 32  # that neither clients nor endpoints may use
-BASE_MEMORY_MB = 24  # that a proxy takes without requests
-TICK_DELAY_S = 0.003  # within which events share a tick
+# The largest fleet in which proxies open connections before they are needed. In larger fleets these
+# connections would crowd the endpoints.
+MAX_PROXIES_PRECONNECTING = 7
+# File descriptors kept free of client and endpoint connections, for the process's other sockets and files:
+# listeners, operators' connections, watches, gossip, the event loop, log, record and snapshot.
+RESERVED_DESCRIPTORS = 32
+BASE_MEMORY_MB = 24  # memory of a proxy process that has no requests
+TICK_DELAY_S = 0.003  # delay of a tick, so that events close together share one
 UPKEEP_INTERVAL_S = 0.25
-FULL_COLLECTION_ROUNDS = 20  # rounds of upkeep after which all generations are collected
-ACCEPT_AFTER_SIGTERM_S = 0.5  # in which new connections still come
-BLOCKED_SIGNALS = {signal.SIGHUP, signal.SIGTERM}  # until there are handlers for them
-OK_PREFIX = "+OK"  # how an answer to an operator begins
-ERROR_PREFIX = "-ERR"
-LIST_WAIT_S = 2.0  # in which a start waits for the list: an agent that is up answers within them
-EXPIRE_DELAY_S = 0.45  # over the longest deadline, at which requests in flight are given up
-STOP_DELAY_S = 0.2  # from then to the end
+FULL_COLLECTION_ROUNDS = 20  # upkeep rounds between two garbage collections of all generations
+ACCEPT_AFTER_SIGTERM_S = 0.5  # time after SIGTERM in which new connections are still accepted
+BLOCKED_SIGNALS = {signal.SIGHUP, signal.SIGTERM}  # blocked until their handlers are installed
+OK_PREFIX = "+OK"  # first characters of an operator call's successful reply
+ERROR_PREFIX = "-ERR"  # first characters of an operator call's error reply
+# The longest time that a starting proxy with a cached list waits for the discovery service, which answers
+# sooner if it is up.
+LIST_WAIT_S = 2.0
+EXPIRE_DELAY_S = 0.45  # time after the longest deadline at which requests in flight are expired at shutdown
+STOP_DELAY_S = 0.2  # time from expiring the requests to the end of the process
 log = logging.getLogger("calicofall")
 
 
 class ActiveRequest:
-    """A request in flight, and the reply that is owed for it."""
+    """A request in flight, and the pending reply to its client."""
 
     __slots__ = ("request", "reply", "parts", "command", "streaming_began_at")
 
@@ -92,93 +98,103 @@
         self.reply = reply
         self.parts = parts
         self.command: UpstreamCommand | None = None
-        self.streaming_began_at: float | None = None  # on the wall clock (ms)
+        self.streaming_began_at: float | None = None  # wall clock time (ms)
 
-    def render(self, left: float) -> list[bytes]:
-        """The command for an endpoint, which has `left` ms for its answer."""
-        return resp.encode_command_chunks(build_forwarded_command(self.parts, left))
+    def render(self, answer_timeout_ms: float) -> list[bytes]:
+        """Returns the command for an endpoint, which has `answer_timeout_ms` to answer it."""
+        return resp.encode_command_chunks(build_forwarded_command(self.parts, answer_timeout_ms))
 
 
 class Proxy:
-    """One proxy: its parts, and the requests in flight."""
+    """One proxy process: its components and its requests in flight.
 
-    def __init__(self, node: dict, loop: asyncio.AbstractEventLoop, open: Callable = open_connection) -> None:
+    Args:
+        node: The node file's content.
+        loop: The event loop.
+        connect: Opens a connection, as `connection.open_connection` does.
+    """
+
+    def __init__(
+        self, node: dict, loop: asyncio.AbstractEventLoop, connect: Callable = open_connection
+    ) -> None:
         self.node, self.loop = node, loop
-        self.wall_clock_offset_ms = (
-            time.time() * 1000.0 - loop.time() * 1000.0
-        )  # one clock for lists and timers
+        # From the loop's clock to the wall clock, so that endpoint lists and timers share one clock.
+        self.wall_clock_offset_ms = time.time() * 1000.0 - loop.time() * 1000.0
         document = configuration_sync.initial_document(node)
-        own = {name: value for name, value in node["settings"].items() if name in PER_PROXY_SETTINGS}
-        settings, lines = settings_on_sockets(
-            node["settings"] if document is None else document.settings | own
+        own_settings = {name: value for name, value in node["settings"].items() if name in PER_PROXY_SETTINGS}
+        settings, log_lines = settings_on_sockets(
+            node["settings"] if document is None else document.settings | own_settings
         )
-        for line in lines:
-            log.info(line)
+        for log_line in log_lines:
+            log.info(log_line)
         deployment = normalize_settings(settings)
         self.methods = {method["name"]: method for method in deployment["methods"]}
         self.tenants = {tenant["name"] for tenant in deployment.get("tenants") or []}
         self.polls_discovery = deployment.get("discovery") == "ask"
         seed = parse_seed(node["seed"])
-        self.startup = parse_startup_settings(node)  # what the operators' file says of starts
+        self.startup_settings = parse_startup_settings(node)
         self.phases = StartupPhases(loop.time())
         self.process_lock: ProcessLock | None = None
-        me, proxies = deployment.get("me") or 0, deployment.get("proxies") or 1
-        # Random draws of its own: the router's are for its decisions alone.
-        random_generator, room_told = Random(seed + 1), self.startup.get("list_watches_per_s")
-        # Names this incarnation: an answer to a former one is not for us.
-        incarnation = random_generator.getrandbits(48) if "gossip_address" in self.startup else 0
-
-        def turns(name: str) -> RateSlots:
-            lease = self.startup.get("quota_lease_s", 0.0)
+        proxy_number, proxy_count = deployment.get("me") or 0, deployment.get("proxies") or 1
+        # Separate from the router's random generator, which is used for routing decisions alone.
+        random_generator, list_watches_per_s = (
+            Random(seed + 1),
+            self.startup_settings.get("list_watches_per_s"),
+        )
+        # Identifies this incarnation, so that answers to a previous incarnation's messages can be ignored.
+        incarnation = random_generator.getrandbits(48) if "gossip_address" in self.startup_settings else 0
+
+        def make_rate_slots(name: str) -> RateSlots:
+            lease_s = self.startup_settings.get("quota_lease_s", 0.0)
             return RateSlots(
                 peer_messages.name_digest(name),
-                me,
+                proxy_number,
                 incarnation,
-                proxies,
+                proxy_count,
                 loop.time(),
-                lease,
+                lease_s,
                 MAX_CLOCK_DRIFT,
                 random_generator,
             )
 
         self.connection_quotas = ConnectionQuotas(
-            me,
-            proxies,
-            self.startup.get("handshakes_per_s"),
-            self.startup.get("max_connections"),
-            self.startup.get("endpoint_capacity_per_s"),
+            proxy_number,
+            proxy_count,
+            self.startup_settings.get("handshakes_per_s"),
+            self.startup_settings.get("max_connections"),
+            self.startup_settings.get("endpoint_capacity_per_s"),
             deployment["rules"].get("fall_multiple"),
-            turns(HANDSHAKE_SLOTS) if "quota_lease_s" in self.startup else None,
+            make_rate_slots(HANDSHAKE_SLOTS) if "quota_lease_s" in self.startup_settings else None,
         )
         self.recorder: Any = None
-        told = segment_writer.parse_record_settings(node)
-        if told:
+        record_settings = segment_writer.parse_record_settings(node)
+        if record_settings:
             from calicofall.proxy.recorder import Recorder
 
-            self.recorder = Recorder(loop, told, node["name"], f"{time.time_ns():x}", time.time)
+            self.recorder = Recorder(loop, record_settings, node["name"], f"{time.time_ns():x}", time.time)
             self.router: Router = self.recorder.make(
                 deployment | {"bears": self.connection_quotas.capacity_share_per_ms},
                 seed,
                 self.now_ms(),
-                "origin_fetches_per_s" in self.startup,
+                "origin_fetches_per_s" in self.startup_settings,
                 self.wall_clock_offset_ms,
             )
         else:
             self.router = Router(
                 deployment | {"bears": self.connection_quotas.capacity_share_per_ms}, seed, self.now_ms()
             )
-        if "origin_fetches_per_s" in self.startup:
+        if "origin_fetches_per_s" in self.startup_settings:
             self.router.slot_clock_offset_ms = self.wall_clock_offset_ms
             self.router.origin_slots = OriginFetchSlots(
-                turns(ORIGIN_FETCH_SLOTS),
-                self.startup["origin_fetches_per_s"],
+                make_rate_slots(ORIGIN_FETCH_SLOTS),
+                self.startup_settings["origin_fetches_per_s"],
                 loop.time(),
                 self.now_ms() / 1000.0,
             )
         self.configuration_sync: configuration_sync.ConfigurationSync | None = None
-        # In a large fleet, proxies that each held connections to every endpoint would make their handshakes
-        # all at once after a start.
-        ahead = proxies <= MAX_PROXIES_OPENING_AHEAD
+        # In a large fleet, proxies that each opened connections to every endpoint would make all their
+        # handshakes at once after a start.
+        preconnect_enabled = proxy_count <= MAX_PROXIES_PRECONNECTING
         self.metrics = Metrics(
             self.methods,
             {
@@ -187,108 +203,122 @@
                 "cluster_unhealthy": lambda: self.router.heavily_degraded_count(self.now_ms()),
             },
         )
-        sockets, of_caches, room = self.connection_budget(1)
-        wall = self.now_ms() / 1000.0
+        max_connections, max_upstream_connections, read_ahead_bytes = self.connection_budget(1)
+        wall_clock_s = self.now_ms() / 1000.0
         self.upstreams = Upstreams(
             loop,
             deployment["caps"],
-            of_caches,
-            ahead,
-            open,
+            max_upstream_connections,
+            preconnect_enabled,
+            connect,
             self.find_sink,
             self.on_streaming,
             self.on_outcome,
             self.metrics,
             self.connection_quotas,
-            wall - loop.time(),
+            wall_clock_s - loop.time(),
         )
         self.upstreams.may_send = self.may_send
-        # Who is told of commands, answers and calls: at the level "proxy" alone.
+        # Records commands, answers and operator calls; set only at the record level "proxy".
         self.note_recorder = self.recorder if self.recorder is not None and self.recorder.notes else None
         self.clients = ClientConnections(
-            loop, sockets, room, self.longest_deadline_s(), self.on_request, self.on_client_disconnected
+            loop,
+            max_connections,
+            read_ahead_bytes,
+            self.longest_deadline_s(),
+            self.on_request,
+            self.on_client_disconnected,
         )
         self.clients.count_other_connections = self.upstreams.connection_count
         self.shutdown = GracefulShutdown(loop, self.clients, self.longest_deadline_s)
         self.management = ManagementServer(loop, self.handle_call)
         self.upstreams.shared_budget_has_capacity = self.clients.ensure_capacity
-        known, learned = node.get("known") or {}, {}
+        initial_list, learned_state = node.get("known") or {}, {}
         self.snapshot_store: SnapshotStore | None = None
-        if "snapshot_folder" in self.startup:
+        if "snapshot_folder" in self.startup_settings:
             self.snapshot_store = SnapshotStore(
-                loop, self.startup["snapshot_folder"], node["name"], self.encode_snapshot
+                loop, self.startup_settings["snapshot_folder"], node["name"], self.encode_snapshot
             )
-            whose = snapshot.snapshot_owner(node["name"], node["settings"], node["discovery"])
+            owner = snapshot.snapshot_owner(node["name"], node["settings"], node["discovery"])
             if (
-                held := self.snapshot_store.load(whose, wall, self.startup["max_snapshot_age_s"])
+                loaded_snapshot := self.snapshot_store.load(
+                    owner, wall_clock_s, self.startup_settings["max_snapshot_age_s"]
+                )
             ) is not None:
-                known, learned = held
-        grid = TimeSlots(me, proxies, room_told, loop.time(), wall) if room_told else None
-        line = DiscoverySchedule(
-            random_generator, proxies, (deployment["rules"].get("ask_every") or 10_000.0) / 2000.0, grid
+                initial_list, learned_state = loaded_snapshot
+        time_slots = (
+            TimeSlots(proxy_number, proxy_count, list_watches_per_s, loop.time(), wall_clock_s)
+            if list_watches_per_s
+            else None
+        )
+        schedule = DiscoverySchedule(
+            random_generator,
+            proxy_count,
+            (deployment["rules"].get("ask_every") or 10_000.0) / 2000.0,
+            time_slots,
         )
         self.discovery = Discovery(
             loop,
-            open,
+            connect,
             node["discovery"],
-            known.get("index"),
-            line,
+            initial_list.get("index"),
+            schedule,
             self.on_list_event,
             self.on_discovery_failure,
             self.reach_phase,
         )
         self.gossip: GossipTransport | None = None
-        if "gossip_address" in self.startup:
+        if "gossip_address" in self.startup_settings:
             self.gossip = GossipTransport(
                 loop,
-                ContentionEstimate(me, proxies, room_told, random_generator),
-                self.startup["fleet_name"],
+                ContentionEstimate(proxy_number, proxy_count, list_watches_per_s, random_generator),
+                self.startup_settings["fleet_name"],
                 incarnation,
-                self.startup["peer_addresses"],
+                self.startup_settings["peer_addresses"],
                 lambda: self.discovery.is_live,
             )
             self.discovery.estimate_contention = self.gossip.estimate_contention
             self.gossip.reopen_watch = self.discovery.reopen
         self.quotas: QuotaEnforcement | None = None
-        hold = self.startup.get("max_in_flight", 0.0)
-        if hold:
-            self.upstreams.in_flight_quota = InFlightQuota(hold / proxies, random_generator)
-        if "quota_lease_s" in self.startup:
-            lent = (
+        max_in_flight = self.startup_settings.get("max_in_flight", 0.0)
+        if max_in_flight:
+            self.upstreams.in_flight_quota = InFlightQuota(max_in_flight / proxy_count, random_generator)
+        if "quota_lease_s" in self.startup_settings:
+            leased_slots = (
                 {HANDSHAKE_SLOTS: (self.connection_quotas.rate_slots, self.connection_quotas.demanded_slots)}
                 if self.connection_quotas.handshakes_per_s
                 else {}
             )
             if self.router.origin_slots is not None:
-                lent[ORIGIN_FETCH_SLOTS] = (
+                leased_slots[ORIGIN_FETCH_SLOTS] = (
                     self.router.origin_slots.rate_slots,
                     self.router.origin_slots.wanted_slots,
                 )
             self.quotas = QuotaEnforcement(
                 loop,
-                me,
+                proxy_number,
                 incarnation,
-                proxies,
-                self.startup["quota_lease_s"],
+                proxy_count,
+                self.startup_settings["quota_lease_s"],
                 random_generator,
-                self.startup.get("endpoint_capacity_per_s"),
+                self.startup_settings.get("endpoint_capacity_per_s"),
                 deployment["rules"],
                 lambda: len(self.upstreams.endpoint_names),
                 self.gossip.send,
                 self.gossip.membership.alive_members,
                 self.apply_quota_shares,
-                lent,
+                leased_slots,
                 self.upstreams.in_flight_quota,
-                hold,
+                max_in_flight,
                 self.longest_deadline_s(),
             )
             self.gossip.on_quota_lease = self.quotas.on_message
         self.outliers: OutlierReports | None = None
-        if self.startup.get("shares_evidence"):
-            bears = self.startup.get("endpoint_capacity_per_s")
+        if self.startup_settings.get("shares_evidence"):
+            endpoint_capacity_per_s = self.startup_settings.get("endpoint_capacity_per_s")
             self.outliers = OutlierReports(
                 loop,
-                me,
+                proxy_number,
                 incarnation,
                 settings.get("zone") or "",
                 random_generator,
@@ -297,32 +327,41 @@
                 self.gossip.send,
                 self.gossip.membership.alive_members,
                 self.now_ms,
-                bears and HotKeyDetector(me, incarnation, proxies, bears, loop.time(), random_generator),
+                endpoint_capacity_per_s
+                and HotKeyDetector(
+                    proxy_number,
+                    incarnation,
+                    proxy_count,
+                    endpoint_capacity_per_s,
+                    loop.time(),
+                    random_generator,
+                ),
             )
             self.gossip.on_evidence = self.outliers.on_message
         self.apply_pins(settings, deployment)
         self.active_requests: dict[str, ActiveRequest] = {}
-        self.open_ids: set[bytes] = set()  # the ids of RPCs in hand, as clients named them
-        self.request_ids, self.rounds = count(), 0
-        self.logs_requests = log.isEnabledFor(logging.DEBUG)  # a line for each RPC, for stage/account.py
-        self.logged_ejections: list[str] = []  # caches aside, as last shown there
-        self.ticking: asyncio.Handle | None = None
+        self.active_client_ids: set[bytes] = set()  # ids that clients gave to requests in flight
+        self.request_ids, self.upkeep_rounds = count(), 0
+        # Whether each request is logged, for testbed/loss_breakdown.py.
+        self.logs_requests = log.isEnabledFor(logging.DEBUG)
+        self.logged_ejections: list[str] = []  # ejected endpoints, as last logged
+        self.tick_timer: asyncio.Handle | None = None
         self.tick_due_at = float("inf")
         self.latency_histograms = {name: HdrHistogram(1, 60_000, 2) for name in self.methods}
         self.listener: Listener | None = None
         self.stopped = loop.create_future()
-        if known:
-            _, index, entries, addresses = parse_endpoint_list(known)
+        if initial_list:
+            _, index, entries, addresses = parse_endpoint_list(initial_list)
             self.apply_list("cached", index, entries, addresses)
-            self.router.restore_learned_state(self.now_ms(), learned)
+            self.router.restore_learned_state(self.now_ms(), learned_state)
         if document is not None:
             self.configuration_sync = configuration_sync.ConfigurationSync(
                 loop,
-                open,
+                connect,
                 node["discovery"],
-                me,
+                proxy_number,
                 self.gossip.incarnation,
-                own,
+                own_settings,
                 document,
                 random_generator,
                 self.gossip.send,
@@ -332,84 +371,95 @@
             )
             self.gossip.on_agreement = self.configuration_sync.on_message
 
-    def connection_budget(self, parts: int) -> tuple[int, int, int]:
-        """For one of `parts` processes: connections, of these to endpoints, bytes of commands in flight."""
-        sockets = max(8, descriptor_limit(self.node) // parts - RESERVED_DESCRIPTORS)
-        # A command in hand, its way to a cache and its answer each take about as much again.
-        return sockets, int(sockets * 0.4), max(1, memory_limit_mb(self.node) // parts - BASE_MEMORY_MB) << 18
+    def connection_budget(self, process_count: int) -> tuple[int, int, int]:
+        """Returns the limits of one process, where `process_count` processes share the proxy's limits.
+
+        Returns:
+            The maximum number of connections, how many of these may go to endpoints, and the size of commands
+            and replies (bytes) from which on no command is read ahead.
+        """
+        max_connections = max(8, descriptor_limit(self.node) // process_count - RESERVED_DESCRIPTORS)
+        # A quarter of the memory (a shift by 18 bits): a command in flight, its copy on the way to an
+        # endpoint and its answer each take about as much again.
+        return (
+            max_connections,
+            int(max_connections * 0.4),
+            max(1, memory_limit_mb(self.node) // process_count - BASE_MEMORY_MB) << 18,
+        )
 
     def longest_deadline_s(self) -> float:
-        """The longest deadline of a method (s)."""
+        """Returns the longest hard deadline of all methods (s)."""
         return max([method["hard_deadline"] for method in self.methods.values()], default=3000.0) / 1000.0
 
     def now_ms(self) -> float:
-        """The wall clock (ms), which runs as the loop's clock does."""
+        """Returns the wall clock time (ms), which advances with the event loop's clock."""
         return self.loop.time() * 1000.0 + self.wall_clock_offset_ms
 
     async def wait_for_list(self) -> None:
-        """Waits with the clients' listener until the agent has told the list, or that it can't.
+        """Waits for the endpoint list before the listener opens.
 
-        Without this, a restarted proxy would act on the list of its former incarnation, and send to endpoints
-        of which the agent has been told since that they drain.
+        The wait ends when the discovery service has answered or refused, or after LIST_WAIT_S; a proxy that
+        has no list at all waits until it receives one. Without the wait, a restarted proxy would act on the
+        list of its previous incarnation, and send requests to endpoints that have begun to drain since.
         """
         with suppress(TimeoutError):
             async with asyncio.timeout(LIST_WAIT_S):
                 await self.discovery.answered.wait()
         if not self.discovery.has_answered and not self.upstreams.endpoint_names:
-            # A proxy without a list would accept clients and reject all that they ask.
-            check_address_available(parse_address(self.node["listen"]))  # who cannot open later is told now
-            log.warning("no list", extra={"door": "closed until one is heard"})
+            # A proxy without a list would accept clients and reject all their requests.
+            check_address_available(parse_address(self.node["listen"]))  # fails now, not after the wait
+            log.warning("no list", extra={"door": "closed until a list is received"})
             await self.discovery.first_list.wait()
         if not self.discovery.has_answered:
             log.warning("serving on an old list", extra={"index": self.discovery.version})
 
     def reach_phase(self, phase: str) -> None:
-        """Logs that the start has come as far as this phase, once each."""
-        ms = self.phases.mark_reached(phase, self.loop.time())
-        if ms is not None:
-            log.info("start", extra={"phase": phase, "ms": ms})
+        """Logs that the startup has reached a phase, once for each phase."""
+        elapsed_ms = self.phases.mark_reached(phase, self.loop.time())
+        if elapsed_ms is not None:
+            log.info("start", extra={"phase": phase, "ms": elapsed_ms})
 
     def encode_snapshot(self) -> bytes | None:
-        """What the next incarnation may begin from; None while the list is not known to hold."""
+        """Returns the snapshot for the next incarnation; None while the endpoint list may be out of date."""
         if not self.discovery.is_live:
             return None
-        whose = snapshot.snapshot_owner(self.node["name"], self.node["settings"], self.discovery.host)
+        owner = snapshot.snapshot_owner(self.node["name"], self.node["settings"], self.discovery.host)
         return snapshot.encode_snapshot(
-            whose,
+            owner,
             self.now_ms() / 1000.0,
             self.upstreams.endpoint_list(self.discovery.version),
             self.router.learned_state(self.now_ms()),
         )
 
-    # What the list says
+    # Endpoint list
 
     def on_list_event(
         self, kind: str, index: int | None, entries: list[tuple], addresses: dict[str, str]
     ) -> None:
-        """News of the list has come from discovery."""
+        """Applies a list or a change of the list that discovery has received."""
         self.apply_list(kind, index, entries, addresses)
         self.schedule_tick()
 
     def apply_list(
         self, kind: str, index: int | None, entries: list[tuple], addresses: dict[str, str]
     ) -> None:
-        """Gives a list to the router, the upstream connections and the peers."""
-        # The module first: what is not sent any more for the list's sake is then sent elsewhere.
+        """Passes a list to the router, the upstream connections and the list digests sent to peers."""
+        # The router comes first, so that requests withdrawn from a removed endpoint are sent elsewhere.
         self.router.on_endpoint_list(self.now_ms(), kind, index, entries)
         self.upstreams.on_endpoint_list(kind, entries, addresses)
         if self.gossip is not None and kind != "cached":
             self.gossip.list_freshness.set_own_list(self.loop.time(), index, self.upstreams.endpoint_states())
 
     def on_discovery_failure(self) -> None:
-        """A call to discovery failed."""
+        """Tells the router that a watch has ended, if the settings say that discovery is polled."""
         if self.polls_discovery:
             self.router.on_endpoint_list(self.now_ms(), "failed", None, [])
             self.schedule_tick()
 
-    # Versions of the settings
+    # Settings
 
     def apply_settings(self, settings: dict) -> None:
-        """Takes other settings, whole, from the next request on."""
+        """Replaces all settings; they apply from the next request on."""
         deployment = normalize_settings(settings_on_sockets(settings)[0])
         self.methods = {method["name"]: method for method in deployment["methods"]}
         self.tenants = {tenant["name"] for tenant in deployment.get("tenants") or []}
@@ -420,41 +470,48 @@
         self.schedule_tick()
 
     def apply_pins(self, settings: dict, deployment: dict) -> None:
-        """Takes fleet-wide limits as the settings have them, and what operators have pinned."""
+        """Applies the settings' fleet-wide limits, and which limits and endpoints operators have pinned."""
         pins = settings.get("pins") or {}
         if self.quotas is not None:
             self.quotas.apply_settings(deployment.get("tenants") or [], pins.get("limits") or ())
         if self.outliers is not None:
             self.outliers.pin(pins.get("caches") or ())
 
-    def apply_quota_shares(self, quotas: dict[str, float], cold: float | None) -> None:
-        """Takes our shares of tenants' quotas, and of what a warm endpoint can do, in requests a second."""
-        fall = self.router.overload_multiple() * 1000.0
+    def apply_quota_shares(self, quotas_per_s: dict[str, float], endpoint_rate_per_s: float | None) -> None:
+        """Passes this proxy's quota shares to the router.
+
+        Args:
+            quotas_per_s: This proxy's shares of the tenants' quotas, in requests a second.
+            endpoint_rate_per_s: This proxy's share of the requests a second that a warm endpoint can serve;
+                None or 0 if no such rate is configured.
+        """
+        rate_divisor = self.router.overload_multiple() * 1000.0
         self.router.set_quota_shares(
-            {name: quota / 1000.0 for name, quota in quotas.items()}, cold and cold / fall
+            {name: quota_per_s / 1000.0 for name, quota_per_s in quotas_per_s.items()},
+            endpoint_rate_per_s and endpoint_rate_per_s / rate_divisor,
         )
 
-    def may_send(self, transmission: UpstreamCommand) -> bool:
-        """Whether a decision may still be carried out; asked right before the first byte leaves."""
+    def may_send(self, command: UpstreamCommand) -> bool:
+        """Returns whether a command may still be sent; called right before its first byte is written."""
         if self.configuration_sync is not None:
             self.configuration_sync.refresh_if_due()
-        call = transmission.active_request
-        if call.reply is not None:
-            call.reply.client.detect_disconnect()
-        return not call.request.finished and self.router.is_still_allowed(
-            self.now_ms(), call.request, transmission.attempt_index
+        active_request = command.active_request
+        if active_request.reply is not None:
+            active_request.reply.client.detect_disconnect()
+        return not active_request.request.finished and self.router.is_still_allowed(
+            self.now_ms(), active_request.request, command.attempt_index
         )
 
-    # The life of an RPC
+    # Requests
 
     def on_request(self, reply: PendingReply, parts: list[bytes]) -> None:
-        """Takes a client's request, or rejects its command."""
+        """Accepts a client's request, or rejects its command."""
         try:
             fields = parse_request_fields(parts, self.methods, self.tenants)
-            if parts[2] in self.open_ids:  # an endpoint would take it for the first one
+            if parts[2] in self.active_client_ids:  # an endpoint would take it for the request in flight
                 raise ValueError("the id of an RPC in hand")
-        except ValueError as reason:
-            reply.client.reject_command(reply, str(reason))
+        except ValueError as error:
+            reply.client.reject_command(reply, str(error))
             return
         reply.client.consecutive_errors = 0
         if self.configuration_sync is not None:
@@ -464,280 +521,345 @@
             self.quotas.refresh_if_due()
         if self.outliers is not None:
             self.outliers.on_request(fields["key"])
-        self.open_ids.add(parts[2])
+        self.active_client_ids.add(parts[2])
         now = self.now_ms()
         method = self.methods[fields["method"]]
-        until = now + min(fields["patience"], method["hard_deadline"])
-        # During a shutdown a late request does not hold its connection for the whole of its deadline.
-        until = min(until, max(now, self.shutdown.answers_due_at * 1000.0 + self.wall_clock_offset_ms))
-        rpc = Request(
+        expires_at = now + min(fields["patience"], method["hard_deadline"])
+        # During a shutdown, a late request must not keep its connection open for the whole of its deadline.
+        expires_at = min(
+            expires_at, max(now, self.shutdown.answers_due_at * 1000.0 + self.wall_clock_offset_ms)
+        )
+        request = Request(
             str(next(self.request_ids)),
             fields["method"],
             fields["tenant"],
             fields["key"],
             fields["write"],
             now,
-            until,
+            expires_at,
             fields["repeat"],
         )
-        reply.active_request = call = self.active_requests[rpc.id] = ActiveRequest(rpc, reply, parts)
+        reply.active_request = active_request = self.active_requests[request.id] = ActiveRequest(
+            request, reply, parts
+        )
         if self.note_recorder is not None:
             self.note_recorder.note(
                 "command",
                 id=parts[2].decode(),
-                rpc=rpc.id,
-                method=rpc.method,
-                key=rpc.key,
-                tenant=rpc.tenant,
-                patience=until - now,
+                rpc=request.id,
+                method=request.method,
+                key=request.key,
+                tenant=request.tenant,
+                patience=expires_at - now,
             )
-        self.carry_out(now, call, self.decide(call, self.router.route, now, rpc))
+        self.execute_decision(
+            now, active_request, self.call_router(active_request, self.router.route, now, request)
+        )
         self.schedule_tick()
 
     @staticmethod
-    def decide(call: ActiveRequest, ask: Callable, *values: Any) -> str | None:
-        """Asks the router; a fault in it fails the request, which is answered."""
+    def call_router(active_request: ActiveRequest, router_call: Callable, *arguments: Any) -> str | None:
+        """Calls the router; an exception in it fails the request.
+
+        Args:
+            active_request: The request that the call is about.
+            router_call: The router's method.
+            arguments: Its arguments.
+
+        Returns:
+            The endpoint that the request is sent to now, if any.
+        """
         try:
-            return ask(*values)
-        except Exception as reason:  # a fault in a decision must not leave its request unanswered
-            log.exception("decision failed", extra={"reason": repr(reason), "method": call.request.method})
-            call.request.finished, call.request.answer = True, "errored"
+            return router_call(*arguments)
+        except Exception as error:  # an error in a decision must not leave the request unanswered
+            log.exception(
+                "decision failed", extra={"reason": repr(error), "method": active_request.request.method}
+            )
+            active_request.request.finished, active_request.request.answer = True, "errored"
             return None
 
-    def carry_out(self, now: float, call: ActiveRequest, cache: str | None) -> None:
-        """Carries out a decision: sends to an endpoint, answers, or waits for the next decision."""
-        rpc = call.request
-        if cache is not None and self.outliers is not None and self.outliers.avoids(rpc):
-            cache = self.decide(
-                call, self.router.report_attempt, now, rpc, len(rpc.attempts) - 1, "held", 0.0
+    def execute_decision(self, now: float, active_request: ActiveRequest, endpoint: str | None) -> None:
+        """Sends a request to the endpoint that was decided on, or answers the client if the request is over.
+
+        Without an endpoint and an answer, the request waits for its next decision.
+        """
+        request = active_request.request
+        if endpoint is not None and self.outliers is not None and self.outliers.avoids(request):
+            endpoint = self.call_router(
+                active_request,
+                self.router.report_attempt,
+                now,
+                request,
+                len(request.attempts) - 1,
+                "held",
+                0.0,
             )
-        if cache is not None:
+        if endpoint is not None:
             check_invariant(
-                not rpc.finished and now < rpc.expires_at, "nothing is sent for an RPC that is over"
+                not request.finished and now < request.expires_at, "nothing is sent for a finished request"
+            )
+            objective_left_ms = request.arrived_at + self.router.latency_objective(request) - now
+            active_request.command = self.upstreams.send(
+                endpoint,
+                active_request,
+                len(request.attempts) - 1,
+                active_request.render,
+                now,
+                request.timeout_ms,
+                request.expires_at - now,
+                objective_left_ms,
             )
-            soft = rpc.arrived_at + self.router.latency_objective(rpc) - now
-            call.command = self.upstreams.send(
-                cache,
-                call,
-                len(rpc.attempts) - 1,
-                call.render,
+        elif request.answer == "exhausted":
+            retry_after_ms = round(request.retry_after_ms)
+            self.send_answer(
                 now,
-                rpc.timeout_ms,
-                rpc.expires_at - now,
-                soft,
+                active_request,
+                resp.encode_error(f"BUSY {retry_after_ms}" if retry_after_ms > 0 else "BUSY"),
             )
-        elif rpc.answer == "exhausted":
-            ms = round(rpc.retry_after_ms)
-            self.answer(now, call, resp.encode_error(f"BUSY {ms}" if ms > 0 else "BUSY"))
-        elif rpc.answer == "errored":
-            self.answer(now, call, resp.encode_error("ERR errored"))
-
-    def answer(self, now: float, call: ActiveRequest, data: bytes) -> None:
-        """Gives the final answer of a request to its client."""
-        rpc, reply, call.reply = call.request, call.reply, None
-        check_invariant(reply is not None, "an RPC gets one answer")
-        self.forget(call)
+        elif request.answer == "errored":
+            self.send_answer(now, active_request, resp.encode_error("ERR errored"))
+
+    def send_answer(self, now: float, active_request: ActiveRequest, data: bytes) -> None:
+        """Sends the final answer of a request to its client."""
+        request, reply, active_request.reply = active_request.request, active_request.reply, None
+        check_invariant(reply is not None, "a request gets one answer")
+        self.remove_active_request(active_request)
         if reply is not None:
-            self.metrics.count_answer(rpc.answer, rpc.name)
-            if rpc.answer == "completed" and "first RPC" not in self.phases.elapsed_ms_by_phase:
+            self.metrics.count_answer(request.answer, request.name)
+            if request.answer == "completed" and "first RPC" not in self.phases.elapsed_ms_by_phase:
                 self.reach_phase("first RPC")
-            self.latency_histograms[rpc.name].record_value(
-                max(1, round((call.streaming_began_at or now) - rpc.arrived_at))
+            self.latency_histograms[request.name].record_value(
+                max(1, round((active_request.streaming_began_at or now) - request.arrived_at))
             )
             reply.complete(data)
             if self.logs_requests:
-                self.log_request(now, call)
+                self.log_request(now, active_request)
             if self.note_recorder is not None:
                 self.note_recorder.note(
-                    "answer", rpc=rpc.id, answer=rpc.answer, ms=now - rpc.arrived_at, size=len(data)
+                    "answer",
+                    rpc=request.id,
+                    answer=request.answer,
+                    ms=now - request.arrived_at,
+                    size=len(data),
                 )
 
-    def log_request(self, now: float, call: ActiveRequest) -> None:
-        """Logs what became of a request, and why, at the level DEBUG (see testbed/loss_breakdown.py)."""
-        rpc = call.request
-        sends = [
-            f"{tx.endpoint}:{tx.outcome or 'out'}:{tx.sent_at - rpc.arrived_at:.0f}" for tx in rpc.attempts
+    def log_request(self, now: float, active_request: ActiveRequest) -> None:
+        """Logs a request's answer, attempts and cause of failure at DEBUG (see testbed/loss_breakdown.py)."""
+        request = active_request.request
+        attempts = [
+            f"{attempt.endpoint}:{attempt.outcome or 'out'}:{attempt.sent_at - request.arrived_at:.0f}"
+            for attempt in request.attempts
         ]
         log.debug(
             "rpc",
             extra={
-                "id": call.parts[2].decode(),
-                "method": rpc.name,
-                "answer": rpc.answer,
-                "ms": round((call.streaming_began_at or now) - rpc.arrived_at),
-                "soft": round(self.router.latency_objective(rpc)),
-                "sends": ",".join(sends) or None,
-                "why": None if rpc.answer == "completed" else self.router.rejection_cause(now, rpc),
+                "id": active_request.parts[2].decode(),
+                "method": request.name,
+                "answer": request.answer,
+                "ms": round((active_request.streaming_began_at or now) - request.arrived_at),
+                "soft": round(self.router.latency_objective(request)),
+                "sends": ",".join(attempts) or None,
+                "why": None if request.answer == "completed" else self.router.rejection_cause(now, request),
                 **self.router.limits_in_use(),
             },
         )
 
     def find_sink(
-        self, transmission: UpstreamCommand, size: int, more: Callable[[], None]
+        self, command: UpstreamCommand, size: int, request_next_chunk: Callable[[], None]
     ) -> PendingReply | None:
-        """The reply that takes a long answer as it comes."""
-        reply = transmission.active_request.reply
+        """Returns the reply to which a long answer is streamed; None if the client has disconnected."""
+        reply = command.active_request.reply
         if reply is not None:
-            reply.start_streaming(size, more)
+            reply.start_streaming(size, request_next_chunk)
         return reply
 
-    def on_streaming(self, transmission: UpstreamCommand) -> None:
-        """Some of an answer was passed on: it is the request's answer, whatever comes of it."""
-        call = transmission.active_request
-        call.streaming_began_at = self.now_ms()
-        self.decide(
-            call,
+    def on_streaming(self, command: UpstreamCommand) -> None:
+        """Binds a request to an attempt, since a part of its answer is about to be sent to the client."""
+        active_request = command.active_request
+        active_request.streaming_began_at = self.now_ms()
+        self.call_router(
+            active_request,
             self.router.on_response_started,
-            call.streaming_began_at,
-            call.request,
-            transmission.attempt_index,
+            active_request.streaming_began_at,
+            active_request.request,
+            command.attempt_index,
         )
 
     def on_outcome(
-        self, transmission: UpstreamCommand, outcome: str, answer: bytes, note: str | None, load: Any
+        self,
+        command: UpstreamCommand,
+        outcome: str,
+        answer: bytes,
+        cache_status: str | None,
+        load_report: Any,
     ) -> None:
-        """An attempt has ended: the router decides what follows."""
-        now, call = self.now_ms(), transmission.active_request
-        rpc, reply, call.command = call.request, call.reply, None
-        over = rpc.finished  # its client has left: nobody is answered
-        bound = transmission.streaming or (reply is not None and reply.head_sent)
-        if reply is not None and not bound:
+        """Reports the end of an attempt to the router, then answers the request or tries it again.
+
+        Args:
+            command: The attempt's command.
+            outcome: How the attempt ended.
+            answer: The value; of a streamed value, the part that the client has not been sent yet.
+            cache_status: The endpoint's note on the answer, such as `hit`.
+            load_report: The endpoint's load report, if any.
+        """
+        now, active_request = self.now_ms(), command.active_request
+        request, reply, active_request.command = active_request.request, active_request.reply, None
+        already_finished = request.finished  # the client has disconnected: there is no reply to send
+        answer_started = command.streaming or (reply is not None and reply.head_sent)
+        if reply is not None and not answer_started:
             reply.request_next_chunk = None
-        took = told = (call.streaming_began_at or now) - transmission.sent_at_ms
-        name = rpc.attempts[transmission.attempt_index].endpoint
+        latency_ms = reported_latency_ms = (active_request.streaming_began_at or now) - command.sent_at_ms
+        endpoint = request.attempts[command.attempt_index].endpoint
         if self.outliers is not None:
-            told = self.outliers.fair_latency(name, rpc.name, took, len(answer))
-        cache = self.decide(
-            call,
+            reported_latency_ms = self.outliers.fair_latency(endpoint, request.name, latency_ms, len(answer))
+        next_endpoint = self.call_router(
+            active_request,
             self.router.report_attempt,
             now,
-            rpc,
-            transmission.attempt_index,
+            request,
+            command.attempt_index,
             outcome,
-            told,
-            note,
-            load,
-            bound,
+            reported_latency_ms,
+            cache_status,
+            load_report,
+            answer_started,
         )
         if self.outliers is not None:
-            self.outliers.on_result(name, rpc, outcome, took, len(answer))
-        if not over and outcome == "completed":
-            self.answer(now, call, answer + b"\r\n" if bound else resp.encode_bulk(answer))
-        elif not over and bound:  # the client can tell a value cut short by the end of its connection
-            rpc.answer, call.reply = "errored", None
-            self.metrics.count_answer(rpc.answer, rpc.name)
-            self.forget(call)
+            self.outliers.on_result(endpoint, request, outcome, latency_ms, len(answer))
+        if not already_finished and outcome == "completed":
+            self.send_answer(
+                now, active_request, answer + b"\r\n" if answer_started else resp.encode_bulk(answer)
+            )
+        elif not already_finished and answer_started:
+            # The client recognizes a truncated value by the closed connection.
+            request.answer, active_request.reply = "errored", None
+            self.metrics.count_answer(request.answer, request.name)
+            self.remove_active_request(active_request)
             reply.abort()
-        elif not over:
-            self.carry_out(now, call, cache)
+        elif not already_finished:
+            self.execute_decision(now, active_request, next_endpoint)
         self.schedule_tick()
 
-    def forget(self, call: ActiveRequest) -> None:
-        """The request is over here."""
-        if self.active_requests.pop(call.request.id, None) is not None:
-            self.open_ids.discard(call.parts[2])
+    def remove_active_request(self, active_request: ActiveRequest) -> None:
+        """Removes a request that has been answered or whose client has disconnected."""
+        if self.active_requests.pop(active_request.request.id, None) is not None:
+            self.active_client_ids.discard(active_request.parts[2])
 
     def on_client_disconnected(self, reply: PendingReply) -> None:
-        """The client has left: attempts for it are called off."""
-        call = reply.active_request
-        if call is None or call.reply is None:
+        """Cancels the attempt that is in flight for a client that has disconnected."""
+        active_request = reply.active_request
+        if active_request is None or active_request.reply is None:
             return
-        call.reply = None
-        self.forget(call)
-        off, transmission = self.router.on_client_disconnected(self.now_ms(), call.request), call.command
-        # A command that waits for its connection is withdrawn also where endpoints take no cancelling, or it
-        # would leave after its client.
-        if transmission is not None and (off or transmission.can_be_withdrawn()):
-            self.upstreams.cancel_command(transmission, "cancelled")
+        active_request.reply = None
+        self.remove_active_request(active_request)
+        cancelled_attempts, command = (
+            self.router.on_client_disconnected(self.now_ms(), active_request.request),
+            active_request.command,
+        )
+        # A command that waits for a connection is withdrawn even if endpoints do not support cancelling.
+        # Otherwise it would be sent after its client has disconnected.
+        if command is not None and (cancelled_attempts or command.can_be_withdrawn()):
+            self.upstreams.cancel_command(command, "cancelled")
         self.schedule_tick()
 
-    # Time
+    # Timers
 
     def schedule_tick(self) -> None:
-        """Has `tick` called once for all events of the next few ms."""
-        at = self.loop.time() + TICK_DELAY_S
-        if self.ticking is None or self.tick_due_at > at:
-            if self.ticking is not None:
-                self.ticking.cancel()
-            self.ticking, self.tick_due_at = self.loop.call_at(at, self.tick), at
+        """Schedules one call of `tick` for all events of the next TICK_DELAY_S."""
+        tick_at = self.loop.time() + TICK_DELAY_S
+        if self.tick_timer is None or self.tick_due_at > tick_at:
+            if self.tick_timer is not None:
+                self.tick_timer.cancel()
+            self.tick_timer, self.tick_due_at = self.loop.call_at(tick_at, self.tick), tick_at
 
     def tick(self) -> None:
-        """Decides on requests whose wait is over, and carries out what the router asks for beside."""
-        self.ticking, now = None, self.now_ms()
-        while (rpc := self.router.next_due_request(now)) is not None:
-            call = self.active_requests.get(rpc.id)
-            check_invariant(call is not None, "an RPC that waits has a call")
-            if call is not None:
-                self.carry_out(now, call, self.decide(call, self.router.route, now, rpc))
-        wait = self.router.tick(now)
-        for line in self.router.log_lines:
-            log.info("mode", extra={"what": line})
+        """Routes requests whose wait is over, and carries out the router's log lines and other actions."""
+        self.tick_timer, now = None, self.now_ms()
+        while (request := self.router.next_due_request(now)) is not None:
+            active_request = self.active_requests.get(request.id)
+            check_invariant(active_request is not None, "a waiting request is an active request")
+            if active_request is not None:
+                self.execute_decision(
+                    now, active_request, self.call_router(active_request, self.router.route, now, request)
+                )
+        wait_ms = self.router.tick(now)
+        for log_line in self.router.log_lines:
+            log.info("mode", extra={"what": log_line})
         self.router.log_lines.clear()
         for action in self.router.actions:
             if isinstance(action, CloseConnections):
                 self.upstreams.close_idle(action.endpoint)
         self.router.actions.clear()
-        if self.ticking is not None:
-            self.ticking.cancel()
-        self.tick_due_at = self.loop.time() + min(wait, 60_000.0) / 1000.0
-        self.ticking = self.loop.call_at(self.tick_due_at, self.tick)
+        if self.tick_timer is not None:
+            self.tick_timer.cancel()
+        self.tick_due_at = self.loop.time() + min(wait_ms, 60_000.0) / 1000.0
+        self.tick_timer = self.loop.call_at(self.tick_due_at, self.tick)
 
     def adjust_to_processes(self) -> None:
-        """Keeps to a part of the limits while other processes of this proxy live."""
+        """Adapts the limits to the number of running processes of this proxy, which share them."""
         if self.process_lock is not None and self.process_lock.refresh():
-            parts = self.process_lock.other_process_count + 1
+            process_count = self.process_lock.other_process_count + 1
             log.info(
                 "processes",
-                extra={"count": parts, "serving": self.process_lock.serving_process_count + self.serving()},
+                extra={
+                    "count": process_count,
+                    "serving": self.process_lock.serving_process_count + self.serving(),
+                },
+            )
+            max_connections, max_upstream_connections, self.clients.read_ahead_bytes = self.connection_budget(
+                process_count
             )
-            sockets, of_caches, self.clients.read_ahead_bytes = self.connection_budget(parts)
-            self.upstreams.set_max_connections(of_caches)
-            self.clients.reduce_max_connections(sockets)
-            self.router.set_process_count(parts)
+            self.upstreams.set_max_connections(max_upstream_connections)
+            self.clients.reduce_max_connections(max_connections)
+            self.router.set_process_count(process_count)
 
     def upkeep(self) -> None:
-        """What is looked at in regular intervals."""
-        self.loop.call_later(
-            UPKEEP_INTERVAL_S, self.upkeep
-        )  # first, so that a fault below does not end all upkeep
+        """Does the periodic checks, and schedules the next ones."""
+        # Scheduled first, so that an exception below does not end the upkeep for good.
+        self.loop.call_later(UPKEEP_INTERVAL_S, self.upkeep)
         self.adjust_to_processes()
         if "limits found" not in self.phases.elapsed_ms_by_phase and self.router.has_baselines():
             self.reach_phase("limits found")
         self.upstreams.close_expired_idle()
         self.clients.close_overdue()
-        # asyncio's transports are reference cycles, which would stay in the older generations for as long as
-        # only the youngest is collected.
-        self.rounds += 1
+        # asyncio's transports are reference cycles, which would stay in the older generations if only the
+        # youngest were collected.
+        self.upkeep_rounds += 1
         if (
             self.logs_requests
-            and (aside := self.router.ejected_endpoints(self.now_ms())) != self.logged_ejections
+            and (ejected := self.router.ejected_endpoints(self.now_ms())) != self.logged_ejections
         ):
-            self.logged_ejections = aside
-            log.debug("aside", extra={"caches": ",".join(aside) or None})
-        gc.collect(0 if self.rounds % FULL_COLLECTION_ROUNDS else 2)
+            self.logged_ejections = ejected
+            log.debug("aside", extra={"caches": ",".join(ejected) or None})
+        gc.collect(0 if self.upkeep_rounds % FULL_COLLECTION_ROUNDS else 2)
 
-    # Start and end
+    # Startup, signals and errors
 
-    async def serve(self, reread: Callable) -> None:
-        """Runs the proxy until it is told to end; `reread` reads the configuration anew."""
-        self.loop.add_signal_handler(signal.SIGHUP, self.on_sighup, reread)
+    async def serve(self, reread_configuration: Callable) -> None:
+        """Runs the proxy until it is terminated.
+
+        Args:
+            reread_configuration: Reads the node file again and returns its content.
+        """
+        self.loop.add_signal_handler(signal.SIGHUP, self.on_sighup, reread_configuration)
         self.loop.set_exception_handler(self.on_loop_error)
         if self.node.get("mgmt"):
             self.management.listen(parse_address(self.node["mgmt"]))
-        # The address is a part of the name: proxies of one name for two customers are no replacements.
+        # The lock's name includes the address: two proxies of the same name for two customers do not replace
+        # each other.
         self.process_lock = ProcessLock(f"{self.node['name']}-{self.node['listen']}", tempfile.gettempdir())
-        # Until the list has come no request was taken, and SIGTERM ends the process at once.
+        # Before the listener opens no request has been accepted, so SIGTERM ends the process at once.
         task = asyncio.current_task()
         self.loop.add_signal_handler(signal.SIGTERM, task.cancel)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_SIGNALS)  # what came since the start comes now
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_SIGNALS)  # delivers signals that are pending
         try:
             await self.run()
         except asyncio.CancelledError:
-            log.info("stopped", extra={"door": "was not open yet"})
+            log.info("stopped", extra={"door": "listener was not open yet"})
         finally:
             self.process_lock.release()
             self.management.close()
-            for part in (
+            for component in (
                 self.outliers,
                 self.quotas,
                 self.configuration_sync,
@@ -745,18 +867,18 @@
                 self.snapshot_store,
                 self.recorder,
             ):
-                if part is not None:
-                    part.close()
+                if component is not None:
+                    component.close()
 
     async def run(self) -> None:
-        """Starts all parts, opens the listener once there is a list, and waits for the end."""
+        """Starts all components, opens the listener once there is a list, and waits until the proxy stops."""
         if self.gossip is not None:
-            await self.gossip.open(self.startup["gossip_address"])
+            await self.gossip.open(self.startup_settings["gossip_address"])
         if self.configuration_sync is not None:
             self.configuration_sync.start()
-        for part in (self.quotas, self.outliers):
-            if part is not None:
-                part.wake()
+        for component in (self.quotas, self.outliers):
+            if component is not None:
+                component.wake()
         if self.recorder is not None:
             self.recorder.start()
             self.loop.add_signal_handler(signal.SIGUSR1, self.recorder.save)
@@ -765,12 +887,12 @@
         self.discovery.start()
         self.upkeep()
         self.schedule_tick()
-        # Few long-lived objects change from here on: collections stay short, and timers in time.
+        # Few long-lived objects change from here on: frozen, they keep collections short and timers on time.
         gc.collect()
         gc.freeze()
         gc.set_threshold(20_000, 50, 1000)
         await self.wait_for_list()
-        # Last: from here on connections are dealt to this process, too.
+        # The listener opens last: from here on the kernel assigns new connections to this process, too.
         self.listener = Listener(
             self.loop,
             parse_address(self.node["listen"]),
@@ -793,63 +915,72 @@
         await self.stopped
         self.upstreams.close()
         self.discovery.stop()
-        for name, times in self.latency_histograms.items():
-            if times.get_total_count():
+        for method, histogram in self.latency_histograms.items():
+            if histogram.get_total_count():
                 log.info(
                     "answer times",
                     extra={
-                        "method": name,
-                        "count": times.get_total_count(),
-                        **{f"p{part}": times.get_value_at_percentile(part) for part in (50, 90, 99)},
+                        "method": method,
+                        "count": histogram.get_total_count(),
+                        **{
+                            f"p{percentile}": histogram.get_value_at_percentile(percentile)
+                            for percentile in (50, 90, 99)
+                        },
                     },
                 )
         log.info("stopped", extra=self.metrics.totals() | {"broken": dict(violation_counts) or None})
 
-    def on_sighup(self, reread: Callable) -> None:
-        """SIGHUP: moves the watch to the discovery address of the file; all else goes on."""
+    def on_sighup(self, reread_configuration: Callable) -> None:
+        """Handles SIGHUP: applies the discovery address of the file, and logs which fields need a restart."""
         try:
-            node = reread()
-        except Exception as reason:  # a bad file changes nothing
-            log.warning("configuration kept", extra={"reason": str(reason)})
+            node = reread_configuration()
+        except Exception as error:  # an invalid file changes nothing
+            log.warning("configuration kept", extra={"reason": str(error)})
             return
-        held = [
+        needs_restart = [
             name
             for name in ("name", "listen", "mgmt", "limits", "settings", "start", "document")
             if node.get(name) != self.node.get(name)
         ]
         self.discovery.change_address(node["discovery"])
         if self.note_recorder is not None:
-            self.note_recorder.note("reload", discovery=node["discovery"], held=held)
+            self.note_recorder.note("reload", discovery=node["discovery"], held=needs_restart)
         log.info(
             "configuration reread",
-            extra={"discovery": node["discovery"], "until_restart": ",".join(held) or None},
+            extra={"discovery": node["discovery"], "until_restart": ",".join(needs_restart) or None},
         )
 
     def on_loop_error(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
-        """The event loop met an exception that no part caught."""
-        reason = context.get("exception")
-        trace = reason if isinstance(reason, Exception) and not isinstance(reason, OSError) else None
-        log.error("trouble", extra={"what": context.get("message"), "reason": repr(reason)}, exc_info=trace)
+        """Logs an exception that no component caught; with a traceback unless it is an OSError."""
+        exception = context.get("exception")
+        logged_exception = (
+            exception if isinstance(exception, Exception) and not isinstance(exception, OSError) else None
+        )
+        log.error(
+            "trouble",
+            extra={"what": context.get("message"), "reason": repr(exception)},
+            exc_info=logged_exception,
+        )
 
-    # Where operators call
+    # Operator calls
 
-    def handle_call(self, name: str) -> str:
-        """The answer to an operator's call; what it asks for is done by then."""
-        lines = self._status_lines(name)
+    def handle_call(self, call: str) -> str:
+        """Executes an operator's call and returns the reply."""
+        lines = self._status_lines(call)
         if lines is not None:
             return "\n".join([OK_PREFIX, *lines, "."])
-        if name == "health":
+        if call == "health":
             return f"{OK_PREFIX if self.serving() else ERROR_PREFIX} {self.state()}"
-        if name == "record" and self.recorder is not None:
+        if call == "record" and self.recorder is not None:
             return f"{OK_PREFIX} saved in {self.recorder.save()}"
-        if name == "quiesce":
+        if call == "quiesce":
             return self._quiesce()
-        if name == "resume":
+        if call == "resume":
             return self._resume()
         return f"{ERROR_PREFIX} unknown call: health, counters, phases, quiesce or resume"
 
-    def _status_lines(self, name: str) -> list[str] | None:
-        """What the part of that name has to tell; None for another call, or a part that is not there."""
+    def _status_lines(self, call: str) -> list[str] | None:
+        """Returns the lines of a status call; None for other calls, or if its component is not configured."""
         sources: dict[str, Callable[[], list[str]]] = {
             "counters": self.metrics.format_lines,
             "phases": self.phases.format_lines,
@@ -866,7 +997,7 @@
             sources["versions"] = self.configuration_sync.format_lines
         if self.recorder is not None:
             sources["recorded"] = self.recorder.lines
-        source = sources.get(name)
+        source = sources.get(call)
         return None if source is None else source()
 
     def _quiesce(self) -> str:
@@ -884,32 +1015,32 @@
         return f"{OK_PREFIX} {self.state()}"
 
     def serving(self) -> bool:
-        """Whether requests are taken."""
+        """Returns whether the proxy accepts clients and no shutdown is under way."""
         return self.listener is not None and self.shutdown.began_at is None
 
     def state(self) -> str:
-        """In a word, as operators are told."""
+        """Returns the proxy's state, as operator calls report it."""
         return "starting" if self.listener is None else "serving" if self.serving() else "emptying"
 
     def log_event(self, event: str) -> None:
-        """Logs an event with the numbers of requests and clients."""
+        """Logs an event with the numbers of active requests and clients."""
         if self.note_recorder is not None:
             self.note_recorder.note(
                 event, calls=len(self.active_requests), clients=len(self.clients.connections)
             )
         log.info(event, extra={"calls": len(self.active_requests), "clients": len(self.clients.connections)})
 
-    # The way out
+    # Graceful shutdown
 
     def terminate(self) -> None:
-        """SIGTERM: ends once all that was taken is answered."""
-        for name in (signal.SIGTERM, signal.SIGINT):  # once is enough
-            self.loop.add_signal_handler(name, lambda: None)
+        """Handles SIGTERM and SIGINT: stops the proxy once all accepted requests are answered."""
+        for signal_number in (signal.SIGTERM, signal.SIGINT):  # further signals are ignored
+            self.loop.add_signal_handler(signal_number, lambda: None)
         self.log_event("draining")
         self.adjust_to_processes()
         self.shutdown.is_final = True
         if self.process_lock is not None and self.process_lock.serving_process_count:
-            # Clients have another process of this proxy to go to: PING goes on saying yes for it.
+            # Another process of this proxy serves its clients, so PING still succeeds.
             self.shutdown.begin(REPLACED_IDLE_CLOSE_DELAY_S, reject_ping=False)
             self.stop_listening()
         else:
@@ -918,26 +1049,26 @@
         self.loop.call_later(self.shutdown.in_flight_timeout_s() + EXPIRE_DELAY_S, self.expire_requests)
 
     def stop_listening(self) -> None:
-        """Accepts nothing new; the proxy ends with its last connection."""
+        """Closes the listener; the proxy stops after its last connection has closed."""
         self.listener.close()
         self.end_when_idle()
 
     def expire_requests(self) -> None:
-        """Ends the time of all requests in flight, so that they are answered before the process is killed."""
-        for call in list(self.active_requests.values()):
-            call.request.expires_at = min(call.request.expires_at, self.now_ms())
-            if call.command is not None and not call.request.streaming:
-                self.upstreams.cancel_command(call.command, "timeout")
+        """Expires all requests in flight, so that they are answered before the process is killed."""
+        for active_request in list(self.active_requests.values()):
+            active_request.request.expires_at = min(active_request.request.expires_at, self.now_ms())
+            if active_request.command is not None and not active_request.request.streaming:
+                self.upstreams.cancel_command(active_request.command, "timeout")
         self.loop.call_later(STOP_DELAY_S, self.end)
 
     def end_when_idle(self) -> None:
-        """Ends once no request is in flight and every client has what it is owed."""
+        """Stops the proxy once no request is in flight and every client connection is closed."""
         if self.active_requests or self.clients.connections:
             self.loop.call_later(0.02, self.end_when_idle)
         else:
             self.end()
 
     def end(self) -> None:
-        """Lets `run` go on to its end."""
+        """Lets `run` return."""
         if not self.stopped.done():
             self.stopped.set_result(None)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -538,7 +538,7 @@
     assert client.take() == b"$5\r\nfresh\r\n"
     other.feed(data)
     other.abort()
-    assert not harness.proxy.open_ids and not harness.proxy.active_requests
+    assert not harness.proxy.active_client_ids and not harness.proxy.active_requests
 
 
 def test_the_door_takes_few_a_turn_and_waits_when_no_descriptor_is_left() -> None:
