--- a/calicofall/proxy/configuration_sync.py
+++ b/calicofall/proxy/configuration_sync.py
@@ -1,10 +1,10 @@
-"""Keeps this proxy's settings in step with the fleet's, without a restart.
+"""Keeps this proxy's settings consistent with the fleet's, without a restart.
 
-Watches the source for settings documents, lets the configuration agreement tell which versions hold and for
-how long, runs canaries, and applies the settings that follow.
+Watches the source for settings documents, follows the configuration agreement on which versions are in effect
+and for how long, runs canaries, and applies the resulting settings.
 
-Invariants: which version holds is decided by `fleet.configuration_agreement`, and whether a canary does well
-by `fleet.canary`; a document is applied whole or not at all; nothing is sent under a lease that has lapsed.
+Invariants: `fleet.configuration_agreement` decides which version is in effect, and `fleet.canary` whether a
+canary succeeds; a document is applied whole or not at all; nothing is sent under a lease that has expired.
 """
 
 import asyncio
@@ -27,21 +27,21 @@
 
 
 class AgreementState(NamedTuple):
-    """What the lease status rests on, beside time."""
+    """The part of the agreement's state that, with the time, determines the lease status."""
 
-    known: int
-    effect: int
-    proved: bool
+    highest_known_version: int
+    effective_version: int
+    confirmed: bool
 
 
 class DocumentWatch(Discovery):
-    """The watch on the settings: each line is a document; it begins with all after the version held."""
+    """The watch on settings documents: one document a line, beginning after the version that is held."""
 
     path = "/api/settings"
     subject = "settings"
 
     def on_message(self, line: bytes) -> None:
-        """Hands over one document."""
+        """Passes on one document."""
         self.schedule.reset_backoff()
         self.on_answer()
         if self.is_down:
@@ -51,77 +51,82 @@
 
 
 class ConfigurationSync:
-    """The settings documents that are held here, and what of them is applied.
+    """The settings documents that this proxy holds, and the settings applied from them.
 
     Args:
         loop: The event loop.
         open_connection: Opens the connection to the source (see `connection.open_connection`).
-        address: Of the source, as host:port.
-        me: This proxy's number.
-        incarnation: Which start of this proxy this is.
-        own_settings: Settings of this proxy alone, which win over those of documents.
-        first: The document that the proxy starts with.
-        random: The source of random numbers.
+        address: The source, as host:port.
+        proxy_number: This proxy's number.
+        incarnation: The number of this proxy's incarnation.
+        own_settings: Settings of this proxy alone, which override those of documents.
+        first_document: The document that the proxy starts with.
+        random_generator: The source of random numbers.
         send: Sends a message to a proxy.
-        on_settings: Takes the settings to act on, each time they change.
-        on_members: Takes the proxies that belong to the fleet.
-        read_counts: Gives how many requests have ended, and how, by method.
+        on_settings: Called with the settings to apply, each time they change.
+        on_members: Called with the numbers of the proxies that belong to the fleet.
+        read_counts: Returns the number of requests that have ended, by method and outcome.
     """
 
-    def __init__(  # noqa: PLR0913 - wiring: each is made elsewhere and handed over once, by the server
+    def __init__(  # noqa: PLR0913 - passed once, by the server
         self,
         loop: asyncio.AbstractEventLoop,
         open_connection: Callable[..., None],
         address: str,
-        me: int,
+        proxy_number: int,
         incarnation: int,
         own_settings: dict[str, Any],
-        first: SettingsDocument,
-        random: Random,
+        first_document: SettingsDocument,
+        random_generator: Random,
         send: Callable[[int, AgreementMessage], None],
         on_settings: Callable[[dict[str, Any]], None],
         on_members: Callable[[frozenset[int]], None],
         read_counts: Callable[[], RequestCounts],
     ) -> None:
         self.loop = loop
-        self.me = me
+        self.proxy_number = proxy_number
         self.own_settings = own_settings
         self.send = send
         self.on_settings = on_settings
         self.on_members = on_members
         self.read_counts = read_counts
-        self.documents = {first.version: first}
+        self.documents = {first_document.version: first_document}
         self.agreement = ConfigurationAgreement(
-            me, incarnation, loop.time(), first.lease_s, first.drift, random
+            proxy_number,
+            incarnation,
+            loop.time(),
+            first_document.lease_s,
+            first_document.drift,
+            random_generator,
         )
         self.watch = DocumentWatch(
             loop,
             open_connection,
             address,
-            first.version,
-            DiscoverySchedule(random, len(first.members)),
+            first_document.version,
+            DiscoverySchedule(random_generator, len(first_document.members)),
             self.on_document,
             lambda: None,
             lambda phase: None,
         )
         self.lease_status = LeaseStatus((), False)
-        self.valid_until = 0.0  # when the lease lapses, on the loop's clock
-        self.last_seen_state = AgreementState(0, 0, False)  # at the last refresh
-        self.settings: dict[str, Any] | None = None  # what is applied
+        self.valid_until = 0.0  # when the lease expires (s, the loop's clock)
+        self.last_agreement_state = AgreementState(0, 0, False)  # at the last refresh
+        self.settings: dict[str, Any] | None = None  # the settings that are applied
         self.canary = Canary()
-        self.canary_document = first  # of the version that is tried here, while one is
-        self.refused: dict[int, str] = {}  # versions that were not taken, and why
+        self.canary_document = first_document  # the canary's document, while a canary runs
+        self.refusal_reasons: dict[int, str] = {}  # by refused version
         self.timer: asyncio.TimerHandle | None = None
-        self.agreement.on_document(loop.time(), first.configuration_version)
+        self.agreement.on_document(loop.time(), first_document.configuration_version)
         self.refresh()
 
     def start(self) -> None:
-        """Begins the watch on the source and the rounds of agreement."""
+        """Starts the watch on the source and the rounds of agreement."""
         self.watch.start()
         self.wake()
 
     def wake(self) -> None:
-        """Sends what the agreement asks for, looks at the canary, and schedules the next round."""
+        """Sends the agreement's messages, evaluates the canary, and schedules the next round."""
         if self.timer is not None:
             self.timer.cancel()
         messages, next_at = self.agreement.wake(self.loop.time())
@@ -133,24 +138,24 @@
         self.refresh()
 
     def on_message(self, message: AgreementMessage) -> None:
-        """Takes a peer's message, and answers a question."""
+        """Handles a peer's message, and responds if it is a request."""
         now = self.loop.time()
         if message.is_request:
             self.send(message.sender, self.agreement.on_request(now, message))
         else:
             self.agreement.on_response(now, message)
-        # A lease that goes on is looked at where it is used, and in each round.
-        if not self.lease_status.leased or self.agreement_state() != self.last_seen_state:
+        # A lease that stays valid is checked where it is used, and in each round.
+        if not self.lease_status.leased or self.agreement_state() != self.last_agreement_state:
             self.refresh()
 
     def agreement_state(self) -> AgreementState:
-        """What the lease status rests on now, beside time."""
+        """Returns the part of the agreement's state that, with the time, determines the lease status."""
         return AgreementState(
             self.agreement.highest_known, self.agreement.effective_version, self.agreement.confirmed
         )
 
     def on_document(self, line: bytes) -> None:
-        """Takes what the source has sent: a document, or something that is none."""
+        """Handles a line that the source has sent; one that is not a valid document is logged and refused."""
         try:
             document = settings_document.parse_document(line)
             predecessor = self.documents.get(document.previous)
@@ -171,20 +176,20 @@
             self.wake()
 
     def _refuse(self, document: SettingsDocument, reason: str, event: str) -> None:
-        self.refused[document.version] = reason
+        self.refusal_reasons[document.version] = reason
         log.warning(event, extra={"version": document.version, "reason": reason})
 
     def begin_canary(self, document: SettingsDocument, reasons: list[str]) -> None:
-        """Takes a version that is to be tried, here or at other proxies.
+        """Starts a canary if this proxy is one of its members; ends one that is running.
 
         Args:
-            document: The version, with its plan.
+            document: The canary's version, with its plan.
             reasons: Why it can't follow the version before it; empty if it can.
         """
         if self.canary.abort("another trial"):
             self.finish_canary()
         plan = document.canary
-        if plan is None or self.me not in plan.members:
+        if plan is None or self.proxy_number not in plan.members:
             return
         if document.previous not in self.documents:
             reasons = [f"after: {document.previous} is not the version in force"]
@@ -193,7 +198,7 @@
         if reasons:
             self._refuse(document, reasons[0], "trial refused")
             return
-        self.refused.pop(document.version, None)
+        self.refusal_reasons.pop(document.version, None)
         self.canary_document = document
         self.canary.begin(
             self.loop.time(), document.version, plan.duration_s, plan.max_increase, self.read_counts()
@@ -205,78 +210,87 @@
         self.apply_effective_settings()
 
     def finish_canary(self) -> None:
-        """Reports on a canary that has ended, and applies what was in effect before it."""
+        """Logs the report of a canary that has ended, and applies the settings in effect without it."""
         report = self.canary.report
         if report is not None:
             _log_canary_report(report)
         self.apply_effective_settings()
 
     def apply_effective_settings(self) -> None:
-        """Hands over the settings to act on, if they differ from those applied."""
+        """Passes on the effective settings if they differ from those applied."""
         settings = self.effective_settings()
         if settings != self.settings:
             self.settings = settings
             self.on_settings(settings | self.own_settings)
 
     def refresh(self) -> None:
-        """Applies what may be acted on now, where it differs: after each message, and before each send."""
+        """Updates the lease status, and applies the effective settings if it has changed."""
         now = self.loop.time()
-        self.last_seen_state = self.agreement_state()
+        self.last_agreement_state = self.agreement_state()
         status = self.agreement.lease_status(now)
         self.valid_until = self.agreement.leased_until(now) if status.leased else float("inf")
         if status == self.lease_status and self.settings is not None:
             return
         previous = self.lease_status
         self.lease_status = status
-        # Without this, a canary would go on at a proxy that can't tell whether the version before it holds.
+        # Without this, a canary would continue at a proxy that can't know whether the version before it is
+        # still in effect.
         if self.canary.abort("another version" if status.leased else "no lease"):
             self.finish_canary()
         _log_lease_status(status, previous)
         self._drop_documents_before(min(status.versions, default=0))
-        nobody: frozenset[int] = frozenset()
-        self.on_members(nobody.union(*(document.members for document in self.documents.values())))
+        no_members: frozenset[int] = frozenset()
+        self.on_members(no_members.union(*(document.members for document in self.documents.values())))
         self.apply_effective_settings()
 
     def _drop_documents_before(self, version: int) -> None:
-        for superseded in [held for held in self.documents if held < version]:
-            del self.documents[superseded]
+        for superseded_version in [held_version for held_version in self.documents if held_version < version]:
+            del self.documents[superseded_version]
 
     def effective_settings(self) -> dict[str, Any]:
-        """What all versions that may be in effect allow, with the canary's if one is tried here."""
-        first, *rest = [self.documents[version].settings for version in self.lease_status.versions]
-        for settings in rest:
-            first = settings_compatibility.combine_settings(first, settings)
+        """Returns what all versions that may be in effect allow, and the canary's while one runs here.
+
+        Without a lease the settings are restricted further.
+        """
+        combined, *other_settings = [
+            self.documents[version].settings for version in self.lease_status.versions
+        ]
+        for settings in other_settings:
+            combined = settings_compatibility.combine_settings(combined, settings)
         if not self.lease_status.leased:
-            return settings_compatibility.restrict_without_lease(first)
+            return settings_compatibility.restrict_without_lease(combined)
         if self.canary.is_trying:
-            return settings_compatibility.combine_settings(first, self.canary_document.settings)
-        return first
+            return settings_compatibility.combine_settings(combined, self.canary_document.settings)
+        return combined
 
     def refresh_if_due(self) -> None:
-        """Refreshes if the lease has lapsed; called right before a decision and before a send.
+        """Refreshes if the lease has expired; called right before a decision and before a send.
 
-        The clock is read here, not when the lease was given. Without this, a process that was stopped for
-        longer than its lease would go on in the middle under settings that no longer hold.
+        The clock is read here, not when the lease was granted. Without this, a process that was stopped for
+        longer than its lease would continue under settings that are no longer in effect.
         """
         if self.loop.time() >= self.valid_until:
             self.refresh()
 
     def format_lines(self) -> list[str]:
-        """The metrics that operators read."""
+        """Returns the metrics lines on versions, lease and canary."""
         latest = self.documents[max(self.documents)]
         left_s = self.valid_until - self.loop.time()
-        held = ",".join(map(str, sorted(self.documents)))
+        held_versions = ",".join(map(str, sorted(self.documents)))
         return [
-            f"settings.me:{self.me}",
+            f"settings.me:{self.proxy_number}",
             f"settings.in_effect:{self.agreement.effective_version}",
-            f"settings.held:{held}",
+            f"settings.held:{held_versions}",
             f"settings.known:{self.agreement.highest_known}",
             f"settings.leased:{int(self.lease_status.leased)}",
             f"settings.lease_left_s:{left_s if self.lease_status.leased else 0.0:.2f}",
             f"settings.bound_s:{latest.supersession_bound_s:.2f}",
             f"settings.digest:{latest.digest}",
             *self._canary_lines(),
-            *(f"settings.refused:{version} {why}" for version, why in sorted(self.refused.items())),
+            *(
+                f"settings.refused:{version} {reason}"
+                for version, reason in sorted(self.refusal_reasons.items())
+            ),
         ]
 
     def _canary_lines(self) -> list[str]:
@@ -290,17 +304,17 @@
         ]
 
     def close(self) -> None:
-        """Ends the watch and the rounds."""
+        """Stops the watch and the rounds."""
         self.watch.stop()
         if self.timer is not None:
             self.timer.cancel()
 
 
 def initial_document(node: dict[str, Any]) -> SettingsDocument | None:
-    """The document that a node's configuration names; None where it names none.
+    """Returns the settings document in a node file, or None if it has none.
 
     Raises:
-        ValueError: The document is invalid, of another fleet, or lacks the settings of gossip.
+        ValueError: The document is invalid or of another fleet, or the node file lacks the gossip settings.
     """
     if node.get("document") is None:
         return None
--- a/calicofall/proxy/discovery_watch.py
+++ b/calicofall/proxy/discovery_watch.py
@@ -1,8 +1,8 @@
-"""One watch on the endpoint list of the discovery service: HTTP/1.1 with a chunked answer.
+"""One watch on the endpoint list of the discovery service: an HTTP/1.1 request with a chunked response.
 
-A message is a JSON object, on one line or on several; an empty line says that nothing has changed.
+A message is a JSON object, on one line or on several; an empty line means that nothing has changed.
 
-Invariants: no message is passed on before it is whole; nothing is passed on once the watch has been replaced.
+Invariants: only complete messages are passed on, and none once the watch has been replaced.
 """
 
 import re
@@ -17,17 +17,17 @@
 MAX_MESSAGE_BYTES = 1 << 20
 MAX_HEAD_LINE_BYTES = 8192
 MAX_RETRY_AFTER_S = 60.0
-MESSAGE_START = re.compile(rb'\s*\{\s*(["}]|$)')  # how a message's first line begins
+MESSAGE_START = re.compile(rb'\s*\{\s*(["}]|$)')  # the beginning of a message's first line
 JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
-NEWLINE = 10
+NEWLINE = 10  # the byte LF
 
 
 class WatchProtocolError(Exception):
-    """What came is no answer to a watch; the message says why."""
+    """The response is not a valid answer to a watch; the message says why."""
 
 
 class WatchStage(StrEnum):
-    """What is read next."""
+    """The part of the response that is read next."""
 
     STATUS = "status"
     HEADERS = "headers"
@@ -37,7 +37,7 @@
 
 
 class Watch(BufferedConnection):
-    """The connection of one watch; what it reads goes to `discovery`."""
+    """The connection of one watch; its messages are passed to `discovery`."""
 
     def __init__(self, discovery: "Discovery") -> None:
         super().__init__(discovery.loop)
@@ -45,25 +45,25 @@
         self.stage = WatchStage.STATUS
         self.chunked = False
         self.chunk_bytes_left = 0
-        self.line = bytearray()  # the beginning of a line whose end has not come
-        self.message = bytearray()  # the lines of a message that is not whole
-        self.open_brackets = 0  # in that message
+        self.line = bytearray()  # the line whose end has not been received
+        self.message = bytearray()  # the lines of a message that is not complete
+        self.open_brackets = 0  # brackets and braces of that message that are not closed
         self.asked_at = discovery.loop.time()
         self.heard_at = self.asked_at
-        self.refused = False  # answered, but not with a list
+        self.refused = False  # whether the response's status is another than 200
         self.retry_after_s = 0.0
 
     def on_open(self) -> None:
-        """Asks for the list, or for its changes since the version that is known."""
+        """Sends the request for the list, or for its changes since the known version."""
         self.discovery.on_phase("list asked")
         since = f"&since={self.discovery.version}" if self.discovery.version is not None else ""
         self.write(
-            f"GET {self.discovery.path}?follow=1{since} HTTP/1.1\r\nHost: {self.discovery.host}\r\n"
+            f"GET {self.discovery.path}?follow=1{since} HTTP/1.1\r\nHost: {self.discovery.address}\r\n"
             "Accept: application/json\r\n\r\n".encode()
         )
 
     def on_data(self) -> None:
-        """Reads what has come; a watch whose answer is none is closed."""
+        """Reads what was received; closes the watch if the response is invalid or has ended."""
         self.heard_at = self.discovery.loop.time()
         try:
             while not self.closed and self._read_next():
@@ -73,11 +73,11 @@
             self.abort()
 
     def on_close(self) -> None:
-        """The watch is over."""
+        """Tells `discovery` that the watch has ended."""
         self.discovery.on_watch_closed(self)
 
     def _read_next(self) -> bool:
-        """Reads one piece of the answer; False if it has not come whole."""
+        """Reads one line or chunk of the response; returns False if it has not been received completely."""
         if self.stage is WatchStage.CHUNK:
             return self._read_chunk()
         line = self._take_line()
@@ -98,7 +98,7 @@
         if end >= 0:
             return self.input.take(end + 1).rstrip(b"\r\n")
         if len(self.input) > MAX_HEAD_LINE_BYTES:
-            raise WatchProtocolError("a line of the answer's head too long")
+            raise WatchProtocolError(f"a line of the response is longer than {MAX_HEAD_LINE_BYTES} bytes")
         return None
 
     def _read_status(self, line: bytes) -> None:
@@ -121,18 +121,18 @@
         if line:
             return
         if not self.chunked:
-            raise WatchProtocolError("an answer that is not chunked")
+            raise WatchProtocolError("the response lacks Transfer-Encoding: chunked")
         self.stage = WatchStage.CHUNK_SIZE
 
     def _read_chunk_size(self, line: bytes) -> None:
         try:
             self.chunk_bytes_left = int(line.partition(b";")[0], 16)
         except ValueError as error:
-            raise WatchProtocolError("a chunk without its size") from error
+            raise WatchProtocolError(f"expected a chunk size, found {line[:20]!r}") from error
         if not self.chunk_bytes_left:
-            raise WatchProtocolError("ended")
+            raise WatchProtocolError("the service ended the response")
         if not 0 < self.chunk_bytes_left <= MAX_MESSAGE_BYTES:
-            raise WatchProtocolError("a chunk too large")
+            raise WatchProtocolError(f"a chunk size is not between 1 and {MAX_MESSAGE_BYTES} bytes")
         self.stage = WatchStage.CHUNK
 
     def _read_chunk(self) -> bool:
@@ -147,30 +147,30 @@
 
     def _read_chunk_end(self, line: bytes) -> None:
         if line:
-            raise WatchProtocolError("a chunk longer than announced")
+            raise WatchProtocolError("a chunk is longer than its announced size")
         self.stage = WatchStage.CHUNK_SIZE
 
     def _read_lines(self, data: bytes) -> None:
         self.line += data
         if len(self.line) + len(self.message) > MAX_MESSAGE_BYTES:
-            raise WatchProtocolError("a line too long")
+            raise WatchProtocolError(f"a message is longer than {MAX_MESSAGE_BYTES} bytes")
         *whole, rest = self.line.split(b"\n")
         self.line = bytearray(rest)
         for line in whole:
-            # A message may make the proxy open another watch, whose news this one's must not follow.
+            # A message may make the proxy open another watch, and its messages must come last.
             if self.discovery.watch is not self:
                 return
             self._read_message_line(line)
 
     def _read_message_line(self, line: bytearray) -> None:
         if not line.strip():
-            if self.message:  # otherwise half a message would swallow all that comes behind it
-                raise WatchProtocolError("a message that does not end")
-            self.discovery.on_answer()  # nothing has changed
+            if self.message:  # otherwise an incomplete message would absorb all messages behind it
+                raise WatchProtocolError("an empty line within a message")
+            self.discovery.on_answer()  # the list has not changed
             return
         if not (self.message or MESSAGE_START.match(line)):
-            raise WatchProtocolError(f"no list: {bytes(line[:20])!r}")
-        # A list may come indented: a message ends with the line that closes all brackets it opened.
+            raise WatchProtocolError(f"expected a JSON object, found {bytes(line[:20])!r}")
+        # A list may be indented over several lines: a message ends where all its brackets are closed.
         bare = JSON_STRING.sub(b"", line)
         self.open_brackets += bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
         self.message += line
@@ -184,4 +184,4 @@
         try:
             self.discovery.on_message(message)
         except ValueError as error:
-            raise WatchProtocolError(f"no list: {str(error)[:60]}") from error
+            raise WatchProtocolError(f"invalid message: {str(error)[:60]}") from error
--- a/calicofall/proxy/quota_enforcement.py
+++ b/calicofall/proxy/quota_enforcement.py
@@ -1,10 +1,10 @@
-"""Puts into effect this proxy's shares of the limits whose sum over the fleet is bounded.
+"""Enforces this proxy's shares of limits that apply to the fleet as a whole.
 
 Measures the demand for each limit, drives the quota leases by which proxies lend each other their shares, and
-applies what is held to the router, to the connections and to the slots that are lent.
+applies the shares held to the router, to the connections and to the leased rate slots.
 
-Invariants: who has which share is decided by `fleet.quota_leases`; no request is judged by a share that has
-lapsed.
+Invariants: `fleet.quota_leases` decides which proxy has which share; no request is admitted by a share that
+has expired.
 """
 
 import asyncio
@@ -25,18 +25,18 @@
 from calicofall.routing.sliding_window import SlidingWindow
 from calicofall.startup.peer_messages import name_digest
 
-MAX_CLOCK_DRIFT = 0.01  # the part by which clocks that measure spans differ at most
-DEMAND_WINDOW_S = 2.0  # of requests, from which demand is measured
-DEMAND_BUCKETS = 8
-MIN_WAKE_INTERVAL_S = 0.01
-DEFAULT_COLD_SHARE = 0.1  # of a warm endpoint's requests that a cold one can do
+MAX_CLOCK_DRIFT = 0.01  # largest relative difference between two proxies' clocks in measuring a duration
+DEMAND_WINDOW_S = 2.0  # length of the sliding window in which requests are counted as demand
+DEMAND_BUCKETS = 8  # buckets of that window
+MIN_WAKE_INTERVAL_S = 0.01  # shortest time between two rounds
+DEFAULT_COLD_SHARE = 0.1  # fraction of a warm endpoint's request rate that a cold one can serve
 MS_PER_S = 1000.0
-# The names of the limits, which are digested in datagrams. A tenant's rate is `rate/TENANT`.
+# Names of the limits; datagrams hold digests of them. The limit on a tenant's rate is `rate/TENANT`.
 RATE_LIMIT_PREFIX = "rate/"
-WARM_UP_LIMIT = "cold"  # the rate at which a cold endpoint may be sent requests
+WARM_UP_LIMIT = "cold"  # rate of requests to a cold endpoint
 IN_FLIGHT_LIMIT = "flight"  # requests in flight at one endpoint
-HANDSHAKE_SLOTS = "handshakes"
-ORIGIN_FETCH_SLOTS = "fetches"
+HANDSHAKE_SLOTS = "handshakes"  # handshakes a second at one endpoint
+ORIGIN_FETCH_SLOTS = "fetches"  # requests a second at the origin
 
 
 class QuotaEnforcement:
@@ -44,33 +44,34 @@
 
     Args:
         loop: The event loop.
-        me: This proxy's number.
-        incarnation: Which start of this proxy this is.
-        proxies: How many proxies there are.
-        lease_s: For how long units are lent.
-        random: The source of random numbers.
+        proxy_number: This proxy's number.
+        incarnation: The number of this proxy's incarnation.
+        proxies: The number of proxies.
+        lease_s: The duration of a lease.
+        random_generator: The source of random numbers.
         warm_rate_per_s: Requests a second that a warm endpoint of weight 1 serves; None or 0 for no limit on
             cold ones.
-        rules: The settings' rules, of which `cold_share` counts here.
-        endpoint_count: Gives the number of endpoints.
+        rules: The settings' rules, of which only `cold_share` is used.
+        endpoint_count: Returns the number of endpoints.
         send: Sends a message to a proxy.
-        live_members: Gives the proxies that are there.
-        apply_shares: Takes the tenants' rates and the rate of a cold endpoint here, a second.
-        rate_slots: By name, the slots that are lent, and a function that gives how many of a round would be
-            used at a time.
-        in_flight_quota: Bounds requests in flight at one endpoint.
-        in_flight_limit: That bound, summed over the fleet.
-        longest_request_s: For how long a request may be in flight.
+        live_members: Returns the numbers of the proxies that are alive.
+        apply_shares: Called with this proxy's shares of each tenant's rate and of the rate of a cold endpoint
+            (requests a second).
+        rate_slots: By name, the leased slots, and a function that returns how many of a round would be used
+            at a given time.
+        in_flight_quota: Limits requests in flight at one endpoint.
+        in_flight_limit: That limit, summed over the fleet.
+        longest_request_s: The longest time that a request may be in flight.
     """
 
-    def __init__(  # noqa: PLR0913 - wiring: each is made elsewhere and handed over once, by the server
+    def __init__(  # noqa: PLR0913 - passed once, by the server
         self,
         loop: asyncio.AbstractEventLoop,
-        me: int,
+        proxy_number: int,
         incarnation: int,
         proxies: int,
         lease_s: float,
-        random: Random,
+        random_generator: Random,
         warm_rate_per_s: float | None,
         rules: dict[str, Any],
         endpoint_count: Callable[[], int],
@@ -83,11 +84,11 @@
         longest_request_s: float = 0.0,
     ) -> None:
         self.loop = loop
-        self.me = me
+        self.proxy_number = proxy_number
         self.incarnation = incarnation
         self.proxies = proxies
         self.lease_s = lease_s
-        self.random = random
+        self.random_generator = random_generator
         self.warm_rate_per_s = warm_rate_per_s
         self.rules = rules
         self.endpoint_count = endpoint_count
@@ -99,31 +100,33 @@
         self.in_flight_limit = in_flight_limit
         self.longest_request_s = longest_request_s
         self.leases: dict[int, QuotaLeases] = {}  # by the digest of the limit's name
-        self.names: dict[int, str] = {}  # by their digest
-        self.rates: dict[str, float] = {}  # of tenants, a second over the fleet
-        # Requests by tenant; under None, those of all that have no rate.
+        self.names_by_digest: dict[int, str] = {}  # by their digest
+        self.tenant_rates_per_s: dict[str, float] = {}  # by tenant, over the fleet
+        # Requests by tenant; under None, those of all tenants without a rate.
         self.request_windows: dict[str | None, SlidingWindow] = {}
         self.began_at = loop.time()
-        self.valid_until = 0.0  # when a share next changes by time alone
+        self.valid_until = 0.0  # when a share next changes by time alone (s, the loop's clock)
         self.timer: asyncio.TimerHandle | None = None
 
-    def apply_settings(self, tenants: list[dict[str, Any]], pinned: Iterable[str] = ()) -> None:
-        """Takes the limits that there are, and which of them operators have pinned.
+    def apply_settings(self, tenants: list[dict[str, Any]], pinned_limits: Iterable[str] = ()) -> None:
+        """Replaces the tenants' limits and the set of limits that operators have pinned.
 
-        The leases of a limit that stays are kept.
+        The leases of a limit that remains are kept.
         """
-        self.rates = {tenant["name"]: tenant["quota"] for tenant in tenants if tenant.get("quota")}
-        self.names = {name_digest(name): name for name in self._limit_names()}
+        self.tenant_rates_per_s = {
+            tenant["name"]: tenant["quota"] for tenant in tenants if tenant.get("quota")
+        }
+        self.names_by_digest = {name_digest(name): name for name in self._limit_names()}
         self.leases = {
             digest: self.leases.get(digest) or self.make_leases(digest, name)
-            for digest, name in self.names.items()
+            for digest, name in self.names_by_digest.items()
         }
         for digest, leases in self.leases.items():
-            leases.pinned = self.names[digest] in pinned
+            leases.pinned = self.names_by_digest[digest] in pinned_limits
         self.refresh()
 
     def _limit_names(self) -> list[str]:
-        names = [f"{RATE_LIMIT_PREFIX}{tenant}" for tenant in self.rates]
+        names = [f"{RATE_LIMIT_PREFIX}{tenant}" for tenant in self.tenant_rates_per_s]
         if self.warm_rate_per_s:
             names.append(WARM_UP_LIMIT)
         if self.in_flight_quota is not None:
@@ -131,51 +134,53 @@
         return [*names, *self.rate_slots]
 
     def make_leases(self, digest: int, name: str) -> QuotaLeases:
-        """Makes the leases of a limit that is new here."""
+        """Creates the leases of a limit that is new."""
         if name in self.rate_slots:
             return self.rate_slots[name][0]
-        kind = QuotaLeases if name in (WARM_UP_LIMIT, IN_FLIGHT_LIMIT) else RateQuotaLeases
-        return kind(
+        lease_class = QuotaLeases if name in (WARM_UP_LIMIT, IN_FLIGHT_LIMIT) else RateQuotaLeases
+        return lease_class(
             digest,
-            self.me,
+            self.proxy_number,
             self.incarnation,
             self.proxies,
             self.loop.time(),
             self.lease_s,
             MAX_CLOCK_DRIFT,
-            self.random,
+            self.random_generator,
         )
 
     def count_request(self, tenant: str | None) -> None:
-        """Counts a request that has come, as demand."""
-        # Only tenants with a rate have a window of their own: names are made up by clients, and without this
-        # memory would grow with each new one.
-        name = tenant if tenant in self.rates else None
-        if name not in self.request_windows:
-            self.request_windows[name] = SlidingWindow(DEMAND_WINDOW_S * MS_PER_S, DEMAND_BUCKETS)
-        self.request_windows[name].add(self.loop.time() * MS_PER_S)
+        """Counts a client's request as demand."""
+        # Only tenants with a rate have a window of their own. Clients choose the names, so memory would grow
+        # with each new name otherwise.
+        window_key = tenant if tenant in self.tenant_rates_per_s else None
+        if window_key not in self.request_windows:
+            self.request_windows[window_key] = SlidingWindow(DEMAND_WINDOW_S * MS_PER_S, DEMAND_BUCKETS)
+        self.request_windows[window_key].add(self.loop.time() * MS_PER_S)
 
     def demand_per_s(self, now: float) -> dict[str | None, float]:
-        """Requests a second, by tenant, over the span that the buckets cover."""
-        # Measured over a window, not since the call before: each limit has rounds of its own, so with two of
-        # them the spans between calls would be shorter and demand would be told too low.
+        """Returns the requests a second, by tenant, over the time that the buckets cover."""
+        # Measured over a window, not since the previous call: each limit has rounds of its own, so with two
+        # limits the time between calls would be shorter and the measured demand too low.
         bucket_s = DEMAND_WINDOW_S / DEMAND_BUCKETS
         span_s = max(bucket_s, min(now - self.began_at, DEMAND_WINDOW_S - bucket_s + now % bucket_s))
-        return {name: window.count(now * MS_PER_S) / span_s for name, window in self.request_windows.items()}
+        return {
+            tenant: window.count(now * MS_PER_S) / span_s for tenant, window in self.request_windows.items()
+        }
 
     def refresh_if_due(self) -> None:
-        """Applies the shares anew if one has lapsed; called right before a request is judged.
+        """Applies the shares again if one has expired; called right before a request is admitted.
 
-        Without this, a process that was stopped for longer than its leases run would go on with them.
+        Without this, a process that was stopped for longer than its leases run would continue to use them.
         """
         if self.loop.time() >= self.valid_until:
             self.refresh()
 
     def refresh(self) -> None:
-        """Applies the shares that are held now."""
+        """Applies the shares that this proxy holds now."""
         now = self.loop.time()
         shares = {
-            self.names[digest]: leases.usable_units(now) / leases.total
+            self.names_by_digest[digest]: leases.usable_units(now) / leases.total
             for digest, leases in self.leases.items()
         }
         self.valid_until = min(
@@ -186,23 +191,24 @@
             cold_rate_per_s *= shares[WARM_UP_LIMIT]
         if self.in_flight_quota is not None:
             leases = self.leases[name_digest(IN_FLIGHT_LIMIT)]
-            # Counts only units that are held for as long as a request may take: without this, requests would
-            # outlive the lease under which they began.
+            # Only units that are held for as long as a request may take are counted. Without this, requests
+            # would outlive the lease under which they began.
             units = leases.usable_units(now, self.longest_request_s)
             self.in_flight_quota.share = self.in_flight_limit * units / UNITS
-        tenant_rates = {
-            tenant: rate * shares[f"{RATE_LIMIT_PREFIX}{tenant}"] for tenant, rate in self.rates.items()
+        tenant_shares_per_s = {
+            tenant: rate_per_s * shares[f"{RATE_LIMIT_PREFIX}{tenant}"]
+            for tenant, rate_per_s in self.tenant_rates_per_s.items()
         }
-        self.apply_shares(tenant_rates, cold_rate_per_s)
+        self.apply_shares(tenant_shares_per_s, cold_rate_per_s)
 
     def wake(self) -> None:
-        """Tells the leases what is wanted, sends what they ask for, and schedules the next round."""
+        """Reports the demand to the leases, sends their messages, and schedules the next round."""
         now = self.loop.time()
         demand = self.demand_per_s(now)
         next_at = now + ROUND_INTERVAL_S
         live_members = self.live_members()
         for digest, leases in self.leases.items():
-            leases.set_demand(self.wanted_units(now, self.names[digest], demand))
+            leases.set_demand(self.wanted_units(now, self.names_by_digest[digest], demand))
             messages, wake_at = leases.wake(now, live_members)
             for peer, message in messages:
                 self.send(peer, message)
@@ -211,7 +217,7 @@
         self.timer = self.loop.call_at(max(next_at, now + MIN_WAKE_INTERVAL_S), self.wake)
 
     def wanted_units(self, now: float, name: str, demand: dict[str | None, float]) -> int:
-        """Units of a limit that would be used here if there were no limit."""
+        """Returns the units of a limit that this proxy would use if there were no limit."""
         if name in self.rate_slots:
             wanted_slots = self.rate_slots[name][1]
             return ceil(wanted_slots(now))
@@ -220,7 +226,7 @@
         if name == WARM_UP_LIMIT:
             return self._wanted_warm_up_units(demand)
         tenant = name.removeprefix(RATE_LIMIT_PREFIX)
-        return int(UNITS * demand.get(tenant, 0.0) / self.rates[tenant])
+        return int(UNITS * demand.get(tenant, 0.0) / self.tenant_rates_per_s[tenant])
 
     def _wanted_in_flight_units(self, now: float) -> int:
         quota = self.in_flight_quota
@@ -231,34 +237,36 @@
     def _wanted_warm_up_units(self, demand: dict[str | None, float]) -> int:
         if not self.warm_rate_per_s:
             return 0  # there is no such limit
-        # A cold endpoint would be sent its part of what comes here, and can do a share of a warm one's work.
+        # A cold endpoint would be sent its part of this proxy's requests, and can serve a fraction
+        # (`cold_share`) of a warm endpoint's rate.
         cold_share = self.rules.get("cold_share") or DEFAULT_COLD_SHARE
         capacity_per_s = self.warm_rate_per_s * cold_share * max(1, self.endpoint_count())
         return int(UNITS * sum(demand.values()) / capacity_per_s)
 
     def on_message(self, message: QuotaLeaseMessage) -> None:
-        """Takes a peer's message; ignores one on a limit that isn't known here (yet, or any more)."""
+        """Handles a peer's message; ignores one on a limit that is not known here (yet, or any more)."""
         leases = self.leases.get(message.limit_id)
         if leases is None:
             return
-        if self.names[message.limit_id] == IN_FLIGHT_LIMIT:
-            # Without this, units would be lent that requests in flight hold already.
+        if self.names_by_digest[message.limit_id] == IN_FLIGHT_LIMIT:
+            # Without this, units that requests in flight already use would be lent to peers.
             wanted = self.wanted_units(self.loop.time(), IN_FLIGHT_LIMIT, {})
             leases.set_demand(max(leases.demand_units, wanted))
         answer = leases.on_message(self.loop.time(), message)
-        self.refresh()  # less is used here before the answer that lends it leaves
+        self.refresh()  # reduces this proxy's share before the answer that lends it is sent
         if answer is not None:
             self.send(message.sender, answer)
 
     def format_lines(self) -> list[str]:
-        """The metrics that operators read: one line for each limit."""
+        """Returns the metrics lines: one for each limit."""
         now = self.loop.time()
         return [
-            f"limit.{self.names[digest]}:{leases.format_line(now)}{' pinned' if leases.pinned else ''}"
+            f"limit.{self.names_by_digest[digest]}:"
+            f"{leases.format_line(now)}{' pinned' if leases.pinned else ''}"
             for digest, leases in self.leases.items()
         ]
 
     def close(self) -> None:
-        """Ends the rounds."""
+        """Cancels the next round."""
         if self.timer is not None:
             self.timer.cancel()
--- a/calicofall/proxy/server.py
+++ b/calicofall/proxy/server.py
@@ -404,12 +404,12 @@
         """
         with suppress(TimeoutError):
             async with asyncio.timeout(LIST_WAIT_S):
-                await self.discovery.answered.wait()
+                await self.discovery.answered_or_refused.wait()
         if not self.discovery.has_answered and not self.upstreams.endpoint_names:
             # A proxy without a list would accept clients and reject all their requests.
             check_address_available(parse_address(self.node["listen"]))  # fails now, not after the wait
             log.warning("no list", extra={"door": "closed until a list is received"})
-            await self.discovery.first_list.wait()
+            await self.discovery.first_answer.wait()
         if not self.discovery.has_answered:
             log.warning("serving on an old list", extra={"index": self.discovery.version})
 
@@ -423,7 +423,7 @@
         """Returns the snapshot for the next incarnation; None while the endpoint list may be out of date."""
         if not self.discovery.is_live:
             return None
-        owner = snapshot.snapshot_owner(self.node["name"], self.node["settings"], self.discovery.host)
+        owner = snapshot.snapshot_owner(self.node["name"], self.node["settings"], self.discovery.address)
         return snapshot.encode_snapshot(
             owner,
             self.now_ms() / 1000.0,
--- a/tests/rogues.py
+++ b/tests/rogues.py
@@ -135,7 +135,9 @@
 
     begin_canary = configuration_sync.ConfigurationSync.begin_canary
     configuration_sync.ConfigurationSync.begin_canary = lambda self, document, reasons: begin_canary(
-        self, document._replace(canary=document.canary._replace(members=(self.me,), duration_s=20.0)), reasons
+        self,
+        document._replace(canary=document.canary._replace(members=(self.proxy_number,), duration_s=20.0)),
+        reasons,
     )
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -514,7 +514,7 @@
         loop = asyncio.get_running_loop()
         node = ProxyHarness.node_file() | {"known": None, "listen": "127.0.0.1:6399"}
         proxy = Proxy(node, loop, lambda *values: None)
-        proxy.discovery.answered.set()  # refused
+        proxy.discovery.answered_or_refused.set()  # refused
         waits_for_list = asyncio.create_task(proxy.wait_for_list())
         await asyncio.sleep(0.05)
         opened_before = waits_for_list.done()
