--- a/calicofall/proxy/__init__.py
+++ b/calicofall/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy on sockets, round the decision module."""
+"""The proxy process: its sockets, timers and files around the router."""
--- a/calicofall/proxy/outlier_reports.py
+++ b/calicofall/proxy/outlier_reports.py
@@ -1,10 +1,11 @@
-"""Evidence on endpoints, exchanged with other proxies, and the decisions that follow, put into effect.
+"""Exchanges evidence on the health of endpoints with other proxies, and applies the resulting decisions.
 
-Tells the outlier consensus how attempts ended here, drives its questions, and ejects or reinstates endpoints
-by what it decides. An endpoint that is slow for large answers alone stays, and gets fewer of them.
+Reports the results of attempts to the outlier consensus, sends its queries, and ejects or reinstates
+endpoints by its decisions. An endpoint that is slow for large answers alone is not ejected, but is sent fewer
+requests for them.
 
-Invariants: what an endpoint is judged to be is decided by `fleet.outlier_consensus`; where a request goes is
-decided by the router; only a bounded part of the endpoints is ejected on other proxies' evidence.
+Invariants: `fleet.outlier_consensus` decides on the health of an endpoint, and the router on where a request
+goes; only a bounded fraction of the endpoints is ejected on other proxies' evidence.
 """
 
 import asyncio
@@ -31,10 +32,10 @@
 from calicofall.routing.router import Router
 from calicofall.startup.peer_messages import name_digest
 
-ADVERSE_OUTCOMES = frozenset({"timeout", "unconnected", "reset", "spoilt"})  # speak against an endpoint
-LARGE_ANSWERS_SUFFIX = "\0large"  # behind an endpoint's name: the evidence on large answers
-LOG_INTERVAL_S = 10.0  # between two lines on one endpoint
-MIN_WAKE_INTERVAL_S = 0.02
+ADVERSE_OUTCOMES = frozenset({"timeout", "unconnected", "reset", "spoilt"})  # count as failures
+LARGE_ANSWERS_SUFFIX = "\0large"  # appended to an endpoint's name to identify the evidence on large answers
+LOG_INTERVAL_S = 10.0  # shortest time between two log lines on one endpoint
+MIN_WAKE_INTERVAL_S = 0.02  # shortest time between two rounds
 log = logging.getLogger("calicofall")
 
 
@@ -43,25 +44,25 @@
 
     Args:
         loop: The event loop.
-        me: This proxy's number.
-        incarnation: Which start of this proxy this is.
-        zone: This proxy's zone, by name.
-        random: The source of random numbers.
-        router: Ejects and reinstates endpoints.
-        endpoint_names: Gives the names of the endpoints on the list.
+        proxy_number: This proxy's number.
+        incarnation: The number of this proxy's incarnation.
+        zone: The name of this proxy's zone.
+        random_generator: The source of random numbers.
+        router: The router, which ejects and reinstates endpoints.
+        endpoint_names: Returns the names of the endpoints on the list.
         send: Sends a message to a proxy.
-        live_members: Gives the proxies that are there.
-        now_ms: The router's clock.
-        hot_keys: Finds keys that the whole fleet asks for often; None where that is not set.
+        live_members: Returns the numbers of the proxies that are alive.
+        now_ms: Returns the time on the router's clock.
+        hot_keys: Finds keys that the whole fleet often requests; None if that is not configured.
     """
 
-    def __init__(  # noqa: PLR0913 - wiring: each is made elsewhere and handed over once, by the server
+    def __init__(  # noqa: PLR0913 - passed once, by the server
         self,
         loop: asyncio.AbstractEventLoop,
-        me: int,
+        proxy_number: int,
         incarnation: int,
         zone: str,
-        random: Random,
+        random_generator: Random,
         router: Router,
         endpoint_names: Callable[[], set[str]],
         send: Callable[[int, EvidenceMessage | KeyCountMessage], None],
@@ -74,98 +75,102 @@
         self.endpoint_names = endpoint_names
         self.send = send
         self.live_members = live_members
-        self.now = now_ms
-        self.consensus = OutlierConsensus(me, incarnation, name_digest(zone), random)
+        self.now_ms = now_ms
+        self.consensus = OutlierConsensus(proxy_number, incarnation, name_digest(zone), random_generator)
         self.answer_sizes = AnswerSizeStatistics()
-        self.random = random
+        self.random_generator = random_generator
         self.hot_keys = hot_keys
-        # By endpoint, until when on the loop's clock.
+        # By endpoint, when the decision expires (s, the loop's clock).
         self.slow_for_large: dict[str, float] = {}  # slow for large answers alone
         self.ejected_on_evidence: dict[str, float] = {}
-        # Endpoints on which other proxies' evidence counts for nothing, as an operator has said.
+        # Endpoints that operators have pinned: other proxies' evidence on them is ignored.
         self.pinned_endpoints: frozenset[str] = frozenset()
-        self.names_by_digest: dict[int, str] = {}  # two digests for each: of all answers, of large ones
-        self.logged_at: dict[str, float] = {}  # when a line was last written on an endpoint
-        # Decisions acted on, and those that weren't because too many endpoints were ejected.
+        self.names_by_digest: dict[int, str] = {}  # two for each endpoint: of all answers, of large ones
+        self.logged_at: dict[str, float] = {}  # by endpoint, when a decision was last logged
+        # Decisions that were applied, and those that were not because too many endpoints were ejected.
         self.reinstated_count = 0
         self.ejected_count = 0
-        self.no_room_count = 0
+        self.refused_ejection_count = 0
         self.timer: asyncio.TimerHandle | None = None
 
-    def fair_latency(self, name: str, method: str, latency_ms: float, size: int) -> float:
-        """The latency in ms that the router is told for an answer of `size` bytes.
+    def fair_latency(self, endpoint: str, method: str, latency_ms: float, answer_bytes: int) -> float:
+        """Returns the latency (ms) that is reported to the router for an answer of `answer_bytes`.
 
-        A large answer of an endpoint that is slow for those alone counts as no slower than usual: without
-        this the endpoint would be ejected for all requests.
+        For a large answer of an endpoint that is slow for those alone, this is at most the baseline latency.
+        Without this, the endpoint would be ejected for all requests.
         """
-        usual_ms = self.router.baseline_latency(method)
-        if usual_ms and size >= LARGE_ANSWER_MIN_BYTES and name in self.slow_for_large:
-            return min(latency_ms, usual_ms)
+        baseline_ms = self.router.baseline_latency(method)
+        if baseline_ms and answer_bytes >= LARGE_ANSWER_MIN_BYTES and endpoint in self.slow_for_large:
+            return min(latency_ms, baseline_ms)
         return latency_ms
 
     def avoids(self, request: Request) -> bool:
-        """Whether a key with large answers goes to another endpoint, since this one is slow for them alone.
+        """Returns whether to avoid the chosen endpoint, which is slow for large answers such as this key has.
 
-        A small part goes there all the same, so that its recovery is seen.
+        A small fraction (CONSENSUS_FRACTION) is sent there all the same, so that its recovery is noticed.
         """
-        name = request.attempts[-1].endpoint
+        endpoint = request.attempts[-1].endpoint
         return (
             not request.write
-            and name in self.slow_for_large
+            and endpoint in self.slow_for_large
             and request.key is not None
             and self.answer_sizes.large_by_key.get(request.key, False)
-            and self.random.random() >= CONSENSUS_FRACTION
-            and self.router.has_alternative(self.now(), request)
+            and self.random_generator.random() >= CONSENSUS_FRACTION
+            and self.router.has_alternative(self.now_ms(), request)
         )
 
     def on_request(self, key: int | None) -> None:
-        """Counts the key of a request that has come."""
+        """Counts the key of a client's request."""
         if self.hot_keys is not None and key is not None:
             self.hot_keys.record_request(self.loop.time(), key)
 
-    def on_result(self, name: str, request: Request, outcome: str, latency_ms: float, size: int) -> None:
-        """Takes how an attempt ended at an endpoint, as evidence; the router knows it by now."""
+    def on_result(
+        self, endpoint: str, request: Request, outcome: str, latency_ms: float, answer_bytes: int
+    ) -> None:
+        """Records the result of an attempt as evidence; called after the router has been told."""
         now = self.loop.time()
-        large_part = 0.0  # of this attempt that counts as evidence on large answers
+        large_weight = 0.0  # weight of this attempt as evidence on large answers
         if outcome == "completed" and not request.write:
-            self._add_large_answer(now, name, request, latency_ms, size)
-            if size >= LARGE_ANSWER_MIN_BYTES:
+            self._add_large_answer(now, endpoint, request, latency_ms, answer_bytes)
+            if answer_bytes >= LARGE_ANSWER_MIN_BYTES:
                 return
         elif outcome == "timeout" and not request.write:
-            large_part = self._add_large_timeout(now, name, request)
+            large_weight = self._add_large_timeout(now, endpoint, request)
         if outcome == "completed":
-            usual_ms = self.router.baseline_latency(request.name)
-            well = not usual_ms or latency_ms <= SLOW_LATENCY_FACTOR * usual_ms
+            baseline_ms = self.router.baseline_latency(request.name)
+            succeeded = not baseline_ms or latency_ms <= SLOW_LATENCY_FACTOR * baseline_ms
         elif outcome in ADVERSE_OUTCOMES:
-            well = False
+            succeeded = False
         else:
             return
-        if large_part < 1.0:
-            self.consensus.record_result(now, name_digest(name), well, 1.0 - large_part)
-        # An ejected endpoint is held down by each bad result. Without this, the router would take its
+        if large_weight < 1.0:
+            self.consensus.record_result(now, name_digest(endpoint), succeeded, 1.0 - large_weight)
+        # Each failure of an ejected endpoint renews its ejection. Without this, the router would take its
         # time-outs for the latency of cache misses, and admit more and more requests to it.
-        if not well and self.ejected_on_evidence.get(name, 0.0) > now:
-            self.router.eject_on_evidence(self.now(), name)
+        if not succeeded and self.ejected_on_evidence.get(endpoint, 0.0) > now:
+            self.router.eject_on_evidence(self.now_ms(), endpoint)
 
     def _add_large_answer(
-        self, now: float, name: str, request: Request, latency_ms: float, size: int
+        self, now: float, endpoint: str, request: Request, latency_ms: float, answer_bytes: int
     ) -> None:
-        fine = self.answer_sizes.record_answer(now, request.key, latency_ms, size)
-        if fine is not None:
-            self.consensus.record_result(now, name_digest(name + LARGE_ANSWERS_SUFFIX), fine)
+        succeeded = self.answer_sizes.record_answer(now, request.key, latency_ms, answer_bytes)
+        if succeeded is not None:
+            self.consensus.record_result(now, name_digest(endpoint + LARGE_ANSWERS_SUFFIX), succeeded)
 
-    def _add_large_timeout(self, now: float, name: str, request: Request) -> float:
-        """Adds a time-out to the evidence on large answers, by the part that such answers have in it.
+    def _add_large_timeout(self, now: float, endpoint: str, request: Request) -> float:
+        """Adds a time-out to the evidence on large answers, weighted by how probable a large answer was.
 
-        Without this, an endpoint would be blamed as a whole for the large answers for which alone it is slow.
+        Without this, an endpoint that is slow for large answers alone would be ejected altogether.
         """
-        large_part = self.answer_sizes.large_probability(now, request.key)
-        if large_part:
-            self.consensus.record_result(now, name_digest(name + LARGE_ANSWERS_SUFFIX), False, large_part)
-        return large_part
+        large_weight = self.answer_sizes.large_probability(now, request.key)
+        if large_weight:
+            self.consensus.record_result(
+                now, name_digest(endpoint + LARGE_ANSWERS_SUFFIX), False, large_weight
+            )
+        return large_weight
 
     def wake(self) -> None:
-        """Asks peers for evidence, acts on what has been decided, and schedules the next round."""
+        """Queries peers for evidence, applies new decisions, and schedules the next round."""
         now = self.loop.time()
         self._update_names(self.endpoint_names())
         next_at = self._ask_for_evidence(now)
@@ -176,28 +181,32 @@
             next_at = min(next_at, self._find_hot_keys(now, self.hot_keys))
         self.timer = self.loop.call_at(max(next_at, now + MIN_WAKE_INTERVAL_S), self.wake)
 
-    def _update_names(self, listed: set[str]) -> None:
-        if 2 * len(listed) == len(self.names_by_digest) and listed == set(self.names_by_digest.values()):
+    def _update_names(self, listed_endpoints: set[str]) -> None:
+        if 2 * len(listed_endpoints) == len(self.names_by_digest) and listed_endpoints == set(
+            self.names_by_digest.values()
+        ):
             return
         self.names_by_digest = {
-            name_digest(name + suffix): name for name in listed for suffix in ("", LARGE_ANSWERS_SUFFIX)
+            name_digest(name + suffix): name
+            for name in listed_endpoints
+            for suffix in ("", LARGE_ANSWERS_SUFFIX)
         }
-        large_answers = [name_digest(name + LARGE_ANSWERS_SUFFIX) for name in listed]
-        self.consensus.set_endpoints(set(self.names_by_digest), large_answers)
+        large_answer_digests = [name_digest(name + LARGE_ANSWERS_SUFFIX) for name in listed_endpoints]
+        self.consensus.set_endpoints(set(self.names_by_digest), large_answer_digests)
 
     def _ask_for_evidence(self, now: float) -> float:
-        degraded = {name_digest(name) for name in self.router.degraded_endpoints(self.now())}
-        doubted = degraded & self.names_by_digest.keys()
-        messages, next_at = self.consensus.wake(now, self.live_members(), doubted)
+        degraded = {name_digest(name) for name in self.router.degraded_endpoints(self.now_ms())}
+        doubted_digests = degraded & self.names_by_digest.keys()
+        messages, next_at = self.consensus.wake(now, self.live_members(), doubted_digests)
         for peer, message in messages:
             self.send(peer, message)
         return next_at
 
     def _act_on_decisions(self, now: float) -> None:
         for digest, decision in self.consensus.take_new_decisions():
-            name = self.names_by_digest[digest]
-            act = self.act_on_decision if digest == name_digest(name) else self.act_on_large_answers
-            act(now, name, decision.health, decision.unhealthy_votes, decision.votes)
+            endpoint = self.names_by_digest[digest]
+            act = self.act_on_decision if digest == name_digest(endpoint) else self.act_on_large_answers
+            act(now, endpoint, decision.health, decision.unhealthy_votes, decision.votes)
 
     def _find_hot_keys(self, now: float, hot_keys: HotKeyDetector) -> float:
         messages, next_at = hot_keys.wake(now, self.live_members())
@@ -207,65 +216,74 @@
             log.info("popular key", extra={"key": f"{key:x}", "per_s": round(rate_per_s)})
         return next_at
 
-    def pin(self, pinned: Iterable[str]) -> None:
-        """Takes the endpoints on which, by an operator's word, other proxies' evidence counts for nothing."""
-        self.pinned_endpoints = frozenset(pinned)
-        for name in self.pinned_endpoints & self.ejected_on_evidence.keys():
-            del self.ejected_on_evidence[name]
-            self.router.reinstate(self.now(), name)
+    def pin(self, endpoints: Iterable[str]) -> None:
+        """Sets the pinned endpoints, on which other proxies' evidence is ignored, and reinstates those."""
+        self.pinned_endpoints = frozenset(endpoints)
+        for endpoint in self.pinned_endpoints & self.ejected_on_evidence.keys():
+            del self.ejected_on_evidence[endpoint]
+            self.router.reinstate(self.now_ms(), endpoint)
 
-    def act_on_decision(self, now: float, name: str, what: str, sick: int, votes: int) -> None:
+    def act_on_decision(
+        self, now: float, endpoint: str, health: str, unhealthy_votes: int, votes: int
+    ) -> None:
         """Ejects or reinstates an endpoint by a decision on all its answers."""
-        if name in self.pinned_endpoints:
+        if endpoint in self.pinned_endpoints:
             return
-        if what == HEALTHY and name in self.router.degraded_endpoints(self.now()):
-            self.ejected_on_evidence.pop(name, None)
-            self.router.reinstate(self.now(), name)
+        if health == HEALTHY and endpoint in self.router.degraded_endpoints(self.now_ms()):
+            self.ejected_on_evidence.pop(endpoint, None)
+            self.router.reinstate(self.now_ms(), endpoint)
             self.reinstated_count += 1
-        elif what in (UNHEALTHY, UNREACHABLE_FROM_ZONE):
-            # Bounded: without this, proxies that are all misled would eject most of the endpoints.
-            if not self.has_room(name, self.ejected_on_evidence):
+        elif health in (UNHEALTHY, UNREACHABLE_FROM_ZONE):
+            # Without this limit, proxies with misleading evidence could eject most of the endpoints.
+            if not self.may_eject(endpoint, self.ejected_on_evidence):
                 return
-            # It is slow for more than large answers, so it no longer takes a place among those.
-            self.slow_for_large.pop(name, None)
-            self.ejected_on_evidence[name] = now + DECISION_LIFETIME_S
-            self.router.eject_on_evidence(self.now(), name)
+            # It is unhealthy altogether, so it no longer counts among those slow for large answers alone.
+            self.slow_for_large.pop(endpoint, None)
+            self.ejected_on_evidence[endpoint] = now + DECISION_LIFETIME_S
+            self.router.eject_on_evidence(self.now_ms(), endpoint)
             self.ejected_count += 1
-        elif what != OVERLOADED:
+        elif health != OVERLOADED:
             return
-        self.log_decision(now, name, what, sick, votes)
-
-    def act_on_large_answers(self, now: float, name: str, what: str, sick: int, votes: int) -> None:
-        """Notes an endpoint as slow for large answers alone, by a decision on those."""
-        well, badly = self.consensus.recent_results(now, name_digest(name))
-        # Without this, an endpoint that is sick altogether would take a place here before the decision on
-        # all its answers, and one that is slow for large answers alone would find none.
-        healthy_otherwise = name not in self.ejected_on_evidence and badly <= well
+        self.log_decision(now, endpoint, health, unhealthy_votes, votes)
+
+    def act_on_large_answers(
+        self, now: float, endpoint: str, health: str, unhealthy_votes: int, votes: int
+    ) -> None:
+        """Marks an endpoint as slow for large answers alone, by a decision on those answers."""
+        successes, failures = self.consensus.recent_results(now, name_digest(endpoint))
+        # Without this, an endpoint that is unhealthy altogether would be counted here before the decision on
+        # all its answers, and an endpoint that is slow for large answers alone would exceed the limit.
+        healthy_otherwise = endpoint not in self.ejected_on_evidence and failures <= successes
         if (
-            name in self.pinned_endpoints
-            or what not in (UNHEALTHY, UNREACHABLE_FROM_ZONE)
+            endpoint in self.pinned_endpoints
+            or health not in (UNHEALTHY, UNREACHABLE_FROM_ZONE)
             or not healthy_otherwise
         ):
             return
-        if self.has_room(name, self.slow_for_large):
-            self.slow_for_large[name] = now + DECISION_LIFETIME_S
+        if self.may_eject(endpoint, self.slow_for_large):
+            self.slow_for_large[endpoint] = now + DECISION_LIFETIME_S
             self.ejected_count += 1
-            self.log_decision(now, name, SLOW_FOR_LARGE_ANSWERS, sick, votes)
-
-    def has_room(self, name: str, table: dict[str, float]) -> bool:
-        """Whether this endpoint may be in the table, too; counts where it may not."""
-        free = name in table or self.consensus.may_eject(len(self.names_by_digest) // 2, len(table))
-        self.no_room_count += not free
-        return free
+            self.log_decision(now, endpoint, SLOW_FOR_LARGE_ANSWERS, unhealthy_votes, votes)
 
-    def log_decision(self, now: float, name: str, what: str, sick: int, votes: int) -> None:
-        """Logs a decision, at most once an interval for each endpoint."""
-        if now - self.logged_at.get(name, -LOG_INTERVAL_S) >= LOG_INTERVAL_S:
-            self.logged_at[name] = now
-            log.info("witnesses", extra={"cache": name, "verdict": what, "sick": sick, "of": votes})
+    def may_eject(self, endpoint: str, ejected: dict[str, float]) -> bool:
+        """Returns whether the endpoint may be among those ejected, and counts it if not."""
+        allowed = endpoint in ejected or self.consensus.may_eject(
+            len(self.names_by_digest) // 2, len(ejected)
+        )
+        self.refused_ejection_count += not allowed
+        return allowed
+
+    def log_decision(self, now: float, endpoint: str, health: str, unhealthy_votes: int, votes: int) -> None:
+        """Logs a decision, at most once every LOG_INTERVAL_S for each endpoint."""
+        if now - self.logged_at.get(endpoint, -LOG_INTERVAL_S) >= LOG_INTERVAL_S:
+            self.logged_at[endpoint] = now
+            log.info(
+                "witnesses",
+                extra={"cache": endpoint, "verdict": health, "sick": unhealthy_votes, "of": votes},
+            )
 
     def on_message(self, message: EvidenceMessage | KeyCountMessage) -> None:
-        """Takes a peer's message, and answers a question."""
+        """Handles a peer's message, and responds if it is a query."""
         answer: EvidenceMessage | KeyCountMessage | None = None
         if isinstance(message, EvidenceMessage):
             answer = self.consensus.on_message(self.loop.time(), message)
@@ -275,14 +293,14 @@
             self.send(message.sender, answer)
 
     def format_lines(self) -> list[str]:
-        """The metrics that operators read."""
+        """Returns the metrics lines on queries, decisions and hot keys."""
         now = self.loop.time()
         return [
             f"witness.asked:{self.consensus.query_messages_sent}",
             f"witness.verdicts:{self.consensus.decisions_made}",
             f"witness.lifted:{self.reinstated_count}",
             f"witness.set_aside:{self.ejected_count}",
-            f"witness.no_room:{self.no_room_count}",
+            f"witness.no_room:{self.refused_ejection_count}",
             *self._decision_lines(now),
             *self._hot_key_lines(now),
         ]
@@ -309,15 +327,15 @@
         ]
 
     def display_name(self, digest: int) -> str:
-        """What operators read for a digest: the endpoint's name, with `/large` for its large answers."""
+        """Returns the endpoint's name for a digest, with `/large` if it stands for large answers."""
         name = self.names_by_digest[digest]
         return name if digest == name_digest(name) else f"{name}/large"
 
     def close(self) -> None:
-        """Ends the rounds."""
+        """Cancels the next round."""
         if self.timer is not None:
             self.timer.cancel()
 
 
-def _not_expired(table: dict[str, float], now: float) -> dict[str, float]:
-    return {name: until for name, until in table.items() if until > now}
+def _not_expired(expiry_times: dict[str, float], now: float) -> dict[str, float]:
+    return {name: expires_at for name, expires_at in expiry_times.items() if expires_at > now}
--- a/calicofall/proxy/segment_files.py
+++ b/calicofall/proxy/segment_files.py
@@ -1,10 +1,10 @@
-"""The segment files of a proxy's record, as the recorder's thread writes them.
+"""The segment files of a proxy's record, which the recorder's thread writes.
 
-A segment is the file `PROXY.INCARNATION.NUMBER.record`. The oldest are deleted, of all incarnations of the
-proxy, where there are more than are to be kept. Saved segments are linked into a folder of their own, in
-which nothing is deleted.
+A segment is the file `PROXY.INCARNATION.NUMBER.record`. The oldest files of all incarnations of the proxy are
+deleted when they exceed the age or the total size to keep. Saved segments are linked into a folder of their
+own, in which nothing is deleted.
 
-Invariants: a file that is not being written ends with a whole frame.
+Invariants: a file that is not being written ends with a complete frame.
 """
 
 import os
@@ -16,34 +16,34 @@
 from calicofall.recording import frames
 from calicofall.recording.record_settings import RecordSettings
 
-SAVED_FOLDER = "saved"
+SAVED_FOLDER = "saved"  # subfolder of the saved segments
 
 
 class RawFile(Protocol):
-    """What is used of an unbuffered file."""
+    """The methods used of an unbuffered file."""
 
     def tell(self) -> int:
-        """The position (bytes)."""
+        """Returns the position (bytes)."""
 
     def write(self, data: bytes, /) -> int:
-        """Writes some of the bytes; how many."""
+        """Writes some of the bytes, and returns how many."""
 
     def truncate(self, size: int, /) -> int:
-        """Cuts the file off."""
+        """Truncates the file to a size (bytes)."""
 
 
 class SegmentFiles:
-    """The files of one proxy; all errors of the disk are raised as OSError.
+    """The segment files of one proxy; disk errors are raised as OSError.
 
     Attributes:
-        folder: Where they are.
-        begun: How many files this process has begun.
-        bytes_written: Bytes that this process has written.
+        folder: The folder of the files.
+        segments_begun: Number of files that this process has begun.
+        bytes_written: Number of bytes that this process has written.
     """
 
     def __init__(self, settings: RecordSettings, proxy_name: str, incarnation: str) -> None:
         self.folder = Path(settings.folder)
-        self.begun = 0
+        self.segments_begun = 0
         self.bytes_written = 0
         self._settings = settings
         self._prefix = quote(proxy_name, safe="")
@@ -51,16 +51,16 @@
         self._file: BinaryIO | None = None
 
     def is_open(self) -> bool:
-        """Whether a segment has begun and not ended."""
+        """Returns whether a segment has begun and not ended."""
         return self._file is not None
 
     def begin(self, head: bytes) -> None:
-        """Begins a segment with its head, and deletes what is not to be kept any more."""
+        """Begins a segment with its head, and deletes segments that exceed the age or size to keep."""
         self.end()
         self.folder.mkdir(parents=True, exist_ok=True)
-        path = self.folder / f"{self._prefix}.{self._incarnation}.{self.begun:06d}.record"
+        path = self.folder / f"{self._prefix}.{self._incarnation}.{self.segments_begun:06d}.record"
         self._file = path.open("xb", buffering=0)
-        self.begun += 1
+        self.segments_begun += 1
         self.write(self._file, frames.file_header() + frames.encode_frame(head))
         self._delete_old(path)
 
@@ -70,34 +70,34 @@
             self.write(self._file, frames.encode_frame(content))
 
     def end(self) -> None:
-        """Ends the open segment, if there is one."""
+        """Ends the open segment, if any."""
         if self._file is not None:
             self._file.close()
             self._file = None
 
     def abandon(self) -> None:
-        """Ends the open segment after an error, or with the process; errors are ignored."""
+        """Ends the open segment after an error or at the end of the process, ignoring errors."""
         if self._file is not None:
             with suppress(OSError):
                 self._file.close()
             self._file = None
 
     def write(self, file: RawFile, data: bytes) -> None:
-        """Writes bytes, or leaves the file as it was."""
+        """Writes all bytes, or truncates the file to its former size and raises the error."""
         position = file.tell()
         try:
             written = 0
             while written < len(data):
                 written += file.write(data[written:])
         except OSError:
-            # Without this, a file on a full disk would end in the middle of a frame.
+            # Without this, a file on a full disk would end with an incomplete frame.
             with suppress(OSError):
                 file.truncate(position)
             raise
         self.bytes_written += len(data)
 
     def save_folder(self, number: int) -> Path:
-        """The folder of this process's save with a number."""
+        """Returns the folder of this process's saved segments with a number."""
         return self.folder / SAVED_FOLDER / f"{self._prefix}.{self._incarnation}.{number:03d}"
 
     def save(self, folder: Path) -> None:
@@ -108,7 +108,7 @@
                 os.link(path, folder / path.name)
 
     def _segments(self) -> list[Path]:
-        """The files of all incarnations of this proxy, the oldest first."""
+        """Returns the files of all incarnations of this proxy, the oldest first."""
         found = [
             (path.stat().st_mtime, path.name, path)
             for path in self.folder.glob("*.record")
@@ -117,14 +117,14 @@
         return [path for *_, path in sorted(found)]
 
     def _delete_old(self, current: Path) -> None:
-        """Deletes the oldest segments, beyond the age and size that are to be kept."""
-        kept = [path for path in self._segments() if path != current]
-        sizes = {path: path.stat().st_size for path in kept}
-        # Another process of this proxy may write at the same time: its file is young, and comes last.
-        oldest = current.stat().st_mtime - self._settings.keep_s
-        total = sum(sizes.values())
-        for path in kept:
-            if total <= self._settings.keep_bytes and path.stat().st_mtime >= oldest:
+        """Deletes the oldest segments that exceed the age or total size to keep."""
+        earlier_segments = [path for path in self._segments() if path != current]
+        sizes = {path: path.stat().st_size for path in earlier_segments}
+        # Another process of this proxy may write at the same time: its file is recent and comes last.
+        min_mtime = current.stat().st_mtime - self._settings.keep_s
+        total_bytes = sum(sizes.values())
+        for path in earlier_segments:
+            if total_bytes <= self._settings.keep_bytes and path.stat().st_mtime >= min_mtime:
                 break
             path.unlink()
-            total -= sizes[path]
+            total_bytes -= sizes[path]
--- a/calicofall/proxy/server.py
+++ b/calicofall/proxy/server.py
@@ -172,7 +172,7 @@
             from calicofall.proxy.recorder import Recorder
 
             self.recorder = Recorder(loop, record_settings, node["name"], f"{time.time_ns():x}", time.time)
-            self.router: Router = self.recorder.make(
+            self.router: Router = self.recorder.make_router(
                 deployment | {"bears": self.connection_quotas.capacity_share_per_ms},
                 seed,
                 self.now_ms(),
@@ -220,7 +220,9 @@
         )
         self.upstreams.may_send = self.may_send
         # Records commands, answers and operator calls; set only at the record level "proxy".
-        self.note_recorder = self.recorder if self.recorder is not None and self.recorder.notes else None
+        self.note_recorder = (
+            self.recorder if self.recorder is not None and self.recorder.records_notes else None
+        )
         self.clients = ClientConnections(
             loop,
             max_connections,
@@ -996,7 +998,7 @@
         if self.configuration_sync is not None:
             sources["versions"] = self.configuration_sync.format_lines
         if self.recorder is not None:
-            sources["recorded"] = self.recorder.lines
+            sources["recorded"] = self.recorder.format_lines
         source = sources.get(call)
         return None if source is None else source()
 
--- a/calicofall/proxy/snapshot_store.py
+++ b/calicofall/proxy/snapshot_store.py
@@ -1,7 +1,7 @@
-"""The snapshot file of a proxy, written at intervals by a thread of the executor.
+"""The snapshot file of a proxy, written periodically in a thread of the event loop's executor.
 
-Invariants: the file is replaced whole or not at all; at most one write is under way; an error costs the
-snapshot alone.
+Invariants: the file is replaced whole or not at all; at most one write is in progress; an error affects
+nothing but the snapshot.
 """
 
 import asyncio
@@ -15,18 +15,18 @@
 
 from calicofall.startup import snapshot
 
-WRITE_INTERVAL_S = 5.0
+WRITE_INTERVAL_S = 5.0  # time between two writes
 log = logging.getLogger("calicofall")
 
 
 class SnapshotStore:
-    """Reads the snapshot of the incarnation before, and writes that of this one.
+    """Reads the snapshot of the previous incarnation, and writes that of this one.
 
     Args:
-        loop: The loop whose executor writes.
-        folder: Where the file stands; made if it is missing.
-        name: The proxy's name, which names the file.
-        encode: Gives the bytes to write, or None while there is nothing worth keeping.
+        loop: The event loop, whose executor writes the file.
+        folder: The file's folder; created if it is missing.
+        name: The proxy's name, from which the file's name is made.
+        encode: Returns the bytes to write, or None to skip a write.
     """
 
     def __init__(
@@ -43,16 +43,16 @@
     def load(
         self, owner: str, wall_clock_s: float, max_age_s: float
     ) -> tuple[dict[str, Any], dict[str, Any]] | None:
-        """Reads the file of the incarnation before.
+        """Reads the file of the previous incarnation.
 
         Args:
-            owner: Whose snapshot counts (see `snapshot.snapshot_owner`).
+            owner: The owner that the snapshot must have (see `snapshot.snapshot_owner`).
             wall_clock_s: The present time.
-            max_age_s: From which age a snapshot does not count.
+            max_age_s: The age from which on a snapshot is not used.
 
         Returns:
-            The endpoint list and the learned state; None where there is no file, or where it doesn't count,
-            which is one log line.
+            The endpoint list and the learned state; None if there is no file, or if it can't be used, which
+            is logged.
         """
         try:
             with open(self.path, "rb") as file:
@@ -68,11 +68,11 @@
         return endpoint_list, learned
 
     def start(self) -> None:
-        """Schedules the next write."""
+        """Schedules the next periodic write."""
         self.timer = self.loop.call_later(WRITE_INTERVAL_S, self.write_periodically)
 
     def write_periodically(self) -> None:
-        """Hands a snapshot to the executor, unless a slow disk still holds the one before."""
+        """Starts writing a snapshot in the executor, unless the previous write is still in progress."""
         self.start()
         if self.pending_write is not None and not self.pending_write.done():
             return
@@ -81,7 +81,7 @@
             self.pending_write = self.loop.run_in_executor(None, self.write, data)
 
     def write(self, data: bytes) -> None:
-        """Replaces the file; runs in a thread. An error is logged once until a write succeeds."""
+        """Replaces the file; runs in a thread. After an error, none is logged until a write has succeeded."""
         temporary_path = None
         try:
             os.makedirs(self.folder, exist_ok=True)
@@ -90,7 +90,7 @@
                 file.write(data)
                 file.flush()
                 os.fsync(file.fileno())
-            # The old file stands until the new one is whole on the disk, so a crash leaves one of the two.
+            # The new file replaces the old one once it is completely on disk, so a crash leaves one of them.
             os.replace(temporary_path, self.path)
             self.failure_logged = False
         except OSError as error:
@@ -100,7 +100,7 @@
             self._log_failure(error)
 
     def close(self) -> None:
-        """Schedules no further write."""
+        """Cancels the periodic writes."""
         if self.timer is not None:
             self.timer.cancel()
 
--- a/tests/test_outlier_consensus.py
+++ b/tests/test_outlier_consensus.py
@@ -507,7 +507,7 @@
     # A tenth of three: at least one.
     assert sorted(round(harness.part(name), 1) for name in ("c1", "c2", "c3")) == [0.1, 1.0, 1.0]
     assert harness.witnesses.ejected_count == 1
-    assert harness.witnesses.no_room_count == 1
+    assert harness.witnesses.refused_ejection_count == 1
     aside = min(("c1", "c2"), key=harness.part)
     # Where a time-out is as long as a fetch, the router itself takes the endpoint for fine.
     harness.proxy.router.policy.endpoints.caches[aside].admitted_fraction = 1.0
@@ -674,7 +674,7 @@
     for _ in range(9):  # each is asked about once in 2 s
         harness.answer(0.0, 3.0)
     assert len(harness.witnesses.slow_for_large) == 1
-    assert harness.witnesses.no_room_count >= 1
+    assert harness.witnesses.refused_ejection_count >= 1
 
 
 def test_healthy_endpoints_with_half_of_members_isolated_are_avoided_less_than_alone() -> None:
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -474,7 +474,7 @@
                 self.connect_upstream(self.loop.connect_requests.index((stream, _))).feed(encode_reply())
             self.loop.connect_requests.clear()
             self.loop.advance(0.3)
-        self.recorder.turn()
+        self.recorder.flush()
 
 
 def test_proxy_record_replays_and_answers_queries(tmp_path: Path) -> None:
@@ -514,7 +514,7 @@
     answer = harness.proxy.handle_call("record")
     assert answer.startswith("+OK saved in ")
     harness.recorder.segment_writer.end_segment()
-    harness.recorder.turn()
+    harness.recorder.flush()
     harness.write()
     saved = [*Path(answer.split()[-1]).glob("*.record")]
     assert len(saved) == 1
@@ -537,7 +537,7 @@
             harness.serve(4)
             if number:
                 harness.recorder.segment_writer.end_segment()
-                harness.recorder.turn()
+                harness.recorder.flush()
     for harness in (old, new):
         harness.write()
     files = sorted(tmp_path.glob("*.record"))
@@ -561,7 +561,7 @@
         harness.write()
         harness.loop.advance(6.0)
     assert [record.message for record in caplog.records] == ["record not written"]
-    assert harness.recorder.lost > 0
+    assert harness.recorder.lost_jobs > 0
     file.unlink()
     harness.serve()
     harness.write()
@@ -607,7 +607,7 @@
         harness.recorder.note("command", key=7, tenant="acme", filler="x" * 300_000)
         began = time.monotonic()
         harness.loop.advance(0.26)
-        harness.recorder.turn()
+        harness.recorder.flush()
         assert time.monotonic() - began < 0.2
     assert harness.recorder.pending_bytes <= MAX_PENDING_BYTES
     assert harness.recorder.segment_writer.events_dropped > 0
@@ -798,7 +798,7 @@
     client = harness.client()
     client.feed(encode_request("save", value=b"v" * 70_000))
     harness.loop.advance(0.05)
-    harness.recorder.turn()
+    harness.recorder.flush()
     harness.write()
     (file,) = tmp_path.glob("*.record")
     assert file.stat().st_size < 20_000
@@ -814,7 +814,7 @@
         loop = asyncio.get_running_loop()
         settings = record_settings.RecordSettings(folder=str(tmp_path))
         recorder = Recorder(loop, settings, "n0", "life", time.time)
-        router = recorder.make(deployment_settings(), 1, 0.0, False, 0.0)
+        router = recorder.make_router(deployment_settings(), 1, 0.0, False, 0.0)
         recorder.start()
         router.on_endpoint_list(0.0, "full", 1, [("c1", "a", "box", 0, "ready", 1.0, 0.0)])
         await asyncio.sleep(0.4)
