--- a/tests/test_outlier_consensus.py
+++ b/tests/test_outlier_consensus.py
@@ -531,7 +531,7 @@
     # A tenth of three endpoints, but at least one.
     assert sorted(round(harness.admitted_fraction(name), 1) for name in ("c1", "c2", "c3")) == [0.1, 1.0, 1.0]
     assert harness.outlier_reports.ejected_count == 1
-    assert harness.outlier_reports.no_room_count == 1
+    assert harness.outlier_reports.refused_ejection_count == 1
     ejected = min(("c1", "c2"), key=harness.admitted_fraction)
     # If a timeout takes as long as an origin fetch, the router alone considers the endpoint healthy.
     harness.proxy.router.policy.endpoints.caches[ejected].admitted_fraction = 1.0
@@ -709,7 +709,7 @@
     for _ in range(9):  # each endpoint is queried once in 2 s
         harness.answer_queries(0.0, 3.0)
     assert len(harness.outlier_reports.slow_for_large) == 1
-    assert harness.outlier_reports.no_room_count >= 1
+    assert harness.outlier_reports.refused_ejection_count >= 1
 
 
 def test_healthy_endpoints_with_half_of_members_isolated_are_avoided_less_than_alone() -> None:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -519,7 +519,7 @@
         loop = asyncio.get_running_loop()
         node = ProxyHarness.node_file() | {"known": None, "listen": "127.0.0.1:6399"}
         proxy = Proxy(node, loop, lambda *values: None)
-        proxy.discovery.answered.set()  # by a refusal
+        proxy.discovery.answered_or_refused.set()  # by a refusal
         wait_task = asyncio.create_task(proxy.wait_for_list())
         await asyncio.sleep(0.05)
         opened_before_list = wait_task.done()
