--- a/calicofall/cli/fleet.py
+++ b/calicofall/cli/fleet.py
@@ -32,9 +32,9 @@
 class ExitCode(IntEnum):
     """Exit codes of the commands."""
 
-    RIGHT = 0
+    OK = 0
     DIFFERENT = 1
-    WRONG = 2
+    INVALID = 2
     UNMEASURED = 3
 
 
@@ -130,7 +130,7 @@
         explanation = f" ({field.explanation})" if field.explanation else ""
         click.echo(f"{kind:8} {change.path}: {shorten(change.old)} -> {shorten(change.new)}{explanation}")
     differ = any(change.field.binding is not Binding.NOT_BINDING for change in changes)
-    sys.exit(ExitCode.DIFFERENT if differ else ExitCode.RIGHT)
+    sys.exit(ExitCode.DIFFERENT if differ else ExitCode.OK)
 
 
 @settings.command()
@@ -176,7 +176,7 @@
         states = set(self.states.values())
         if CanaryState.FAILING in states:
             return ExitCode.DIFFERENT
-        return ExitCode.RIGHT if states == {CanaryState.WELL} else ExitCode.UNMEASURED
+        return ExitCode.OK if states == {CanaryState.WELL} else ExitCode.UNMEASURED
 
     def _poll(self, address: str) -> None:
         try:
@@ -268,7 +268,7 @@
     document = load_successor(file, after)
     if trials:
         code = run_canary(document, source, trials, span, worse)
-        if code != ExitCode.RIGHT:
+        if code != ExitCode.OK:
             click.echo(f"{file}: halted: version {document.version} is not published")
             sys.exit(code)
     if not post_document(source, "/api/settings", load_json(file)):
@@ -295,7 +295,7 @@
             f"{figures['leased']} ({figures['lease_left_s']} s), D {figures['bound_s']} s"
         )
     agreed = len(seen) == 1 and all(leased == "1" for _, leased, _ in seen)
-    sys.exit(ExitCode.RIGHT if agreed else ExitCode.DIFFERENT)
+    sys.exit(ExitCode.OK if agreed else ExitCode.DIFFERENT)
 
 
 @click.group()
@@ -324,7 +324,7 @@
     for member, proxies in sorted(unreachable_to.items(), key=lambda item: int(item[0])):
         shown = ",".join(proxies[:SHOWN_PROXIES])
         click.echo(f"proxy {member}: not there to {len(proxies)} of {len(addresses)}: {shown}")
-    sys.exit(ExitCode.RIGHT if complete else ExitCode.DIFFERENT)
+    sys.exit(ExitCode.OK if complete else ExitCode.DIFFERENT)
 
 
 def _show_membership(address: str, figures: dict[str, str]) -> bool:
--- a/calicofall/cli/record.py
+++ b/calicofall/cli/record.py
@@ -13,8 +13,8 @@
 
 # The names under which other commands use these.
 DIFFERENT = ExitCode.DIFFERENT
-held = verify_segments
-segments = open_segments
+verify_records = verify_segments
+open_records = open_segments
 
 files_argument = click.argument("files", nargs=-1, required=True, type=click.Path(dir_okay=True))
 
--- a/calicofall/cli/replay.py
+++ b/calicofall/cli/replay.py
@@ -106,10 +106,10 @@
     kind, at_ms = mismatch.event[:2]
     click.echo(f"{segment.path}: differs at {(at_ms - began_ms) / 1000.0:.3f} s: {kind}")
     click.echo(f"  recorded  {mismatch.recorded}\n  played    {mismatch.replayed}")
-    for name, value in mismatch.view.items():
+    for name, value in mismatch.router_summary.items():
         click.echo(f"  {name:9} {value}")
     click.echo("  before it:")
-    for kind, at_ms, *fields in mismatch.before:
+    for kind, at_ms, *fields in mismatch.preceding_events:
         shown = str(fields)[:SHOWN_EVENT_LENGTH]
         click.echo(f"    {(at_ms - began_ms) / 1000.0:.3f} {kind} {shown}")
 
--- a/calicofall/cli/testbed.py
+++ b/calicofall/cli/testbed.py
@@ -18,16 +18,16 @@
 import click
 
 # Exit codes.
-PASSED = 0
-BROKEN = 1
-WRONG = 2
-VOID = 3
+EXIT_PASSED = 0
+EXIT_FAILED = 1
+EXIT_INVALID = 2
+EXIT_VOID = 3
 
 
-class Stop(click.ClickException):
+class TestbedCommandError(click.ClickException):
     """Ends a command with a message and the exit code of a wrong call."""
 
-    exit_code = WRONG
+    exit_code = EXIT_INVALID
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
     try:
         from calicofall.testbed import report, runner, scenario
     except ImportError as missing:
-        raise Stop(f"{missing.name} is missing: pip install 'calicofall[stage]'") from missing
+        raise TestbedCommandError(f"{missing.name} is missing: pip install 'calicofall[stage]'") from missing
     return Testbed(scenario, report, runner.run_scenario)
 
 
@@ -110,13 +110,13 @@
             told=lambda line: None if quiet else click.echo(line, err=True),
         )
     except KeyboardInterrupt:
-        raise Stop("stopped: all that was started has ended") from None
+        raise TestbedCommandError("stopped: all that was started has ended") from None
     testbed.report.keep(folder, scenario, verdict, history)
     testbed.report.table(testbed.report.load([str(folder)]))
     click.echo(f"{scenario.name}: {verdict.word}; {folder}")
     if verdict.void:
-        sys.exit(VOID)
-    sys.exit(PASSED if verdict.passed else BROKEN)
+        sys.exit(EXIT_VOID)
+    sys.exit(EXIT_PASSED if verdict.passed else EXIT_FAILED)
 
 
 def load_changed_scenario(scenarios: ModuleType, file: str, fleet: dict[str, Any], seed: int | None) -> Any:
@@ -132,7 +132,7 @@
         data["fleet"] |= fleet
         return scenarios.parse_scenario(data, file)
     except scenarios.InvalidScenario as error:
-        raise Stop(str(error)) from error
+        raise TestbedCommandError(str(error)) from error
 
 
 @stage.command()
@@ -148,7 +148,7 @@
         for number in range(seed, seed + count):
             randomized.run(number, versions)
     except KeyboardInterrupt:
-        raise Stop("stopped: all that was started has ended") from None
+        raise TestbedCommandError("stopped: all that was started has ended") from None
     if versions:
         click.echo(
             f"{count - randomized.void} drills, {randomized.void} void, {randomized.orders} sends judged: "
@@ -157,7 +157,7 @@
         )
     if record:
         click.echo(f"{randomized.replayed} verdicts played again, each as recorded")
-    sys.exit(VOID if randomized.void else PASSED)
+    sys.exit(EXIT_VOID if randomized.void else EXIT_PASSED)
 
 
 @dataclass(slots=True)
@@ -209,7 +209,7 @@
             self.bound_s = scenario.must.settled_s or 0.0
         if rules:
             self._shrink(scenario, rules)
-            sys.exit(BROKEN)
+            sys.exit(EXIT_FAILED)
 
     def _shrink(self, scenario: Any, rules: set[str]) -> None:
         """Write the shortest scenario that still breaks one of the rules."""
@@ -227,15 +227,15 @@
 
 def replay_records(folder: Path) -> int:
     """Replay all records of a scenario and return the number of decisions; exits where one differs."""
-    from calicofall.cli.record import DIFFERENT, held, segments
+    from calicofall.cli.record import DIFFERENT, open_records, verify_records
 
     count = 0
-    for place in sorted(folder.glob("p*/record")):
-        if any(place.glob("*.record")):
-            decisions, code = held(segments((str(place),)))
+    for record_folder in sorted(folder.glob("p*/record")):
+        if any(record_folder.glob("*.record")):
+            decisions, code = verify_records(open_records((str(record_folder),)))
             count += decisions
             if code == DIFFERENT:
-                sys.exit(BROKEN)
+                sys.exit(EXIT_FAILED)
     return count
 
 
@@ -249,7 +249,7 @@
     logs = loss_breakdown.read_logs(Path(folder))
     summary = loss_breakdown.summarize_answers(logs)
     if not summary["answers"]:
-        raise Stop(f"{folder}: no line of an RPC: serve --log-level DEBUG writes them")
+        raise TestbedCommandError(f"{folder}: no line of an RPC: serve --log-level DEBUG writes them")
     print_answers(summary)
     if span:
         for period in loss_breakdown.answers_by_period(logs, span):
@@ -290,7 +290,7 @@
     try:
         loaded = report.load(list(results))
     except report.InvalidResultError as error:
-        raise Stop(str(error)) from error
+        raise TestbedCommandError(str(error)) from error
     report.table(loaded)
     if chart:
         report.chart(loaded, chart)
--- a/calicofall/proxy/recorder.py
+++ b/calicofall/proxy/recorder.py
@@ -127,7 +127,7 @@
             "deployment": pseudonymized_settings(settings, self.naming),
         }
         self.segment_writer = SegmentWriter(self.settings, head, self._encode_state, self.loop.time())
-        self.router = RecordingRouter(settings, seed, now, self.segment_writer.put, self.naming)
+        self.router = RecordingRouter(settings, seed, now, self.segment_writer.add_event, self.naming)
         return self.router
 
     def _has_pseudonyms(self) -> bool:
@@ -142,7 +142,7 @@
             values["key"] = self.naming.key(values["key"])
         if values.get("tenant") is not None:
             values["tenant"] = self.naming.tenant(values["tenant"])
-        self.segment_writer.put(encode_event(ProxyNote(self.system_clock() * 1000.0, what, values)))
+        self.segment_writer.add_event(encode_event(ProxyNote(self.system_clock() * 1000.0, what, values)))
 
     def start(self) -> None:
         """Starts the thread and the turns."""
@@ -163,7 +163,7 @@
             disk_works = now - self._disk_failed_at >= RETRY_AFTER_S
             room = MAX_PENDING_BYTES - self.pending_bytes if disk_works else 0
         try:
-            jobs: list[Job] = [*self.segment_writer.turn(now, room)]
+            jobs: list[Job] = [*self.segment_writer.next_steps(now, room)]
             if save is not None:
                 begins = [place for place, job in enumerate(jobs) if isinstance(job, BeginSegment)]
                 jobs.insert(begins[0] if begins else len(jobs), save)
@@ -205,7 +205,7 @@
             self._timer.cancel()
         if self.thread.is_alive():
             with suppress(Exception):
-                self._add_jobs(self.segment_writer.turn(self.loop.time(), MAX_PENDING_BYTES))
+                self._add_jobs(self.segment_writer.next_steps(self.loop.time(), MAX_PENDING_BYTES))
             self.closing = True
             self.job_added.set()
             self.thread.join(CLOSE_TIMEOUT_S)
--- a/calicofall/recording/events.py
+++ b/calicofall/recording/events.py
@@ -79,10 +79,10 @@
     request_id: str
     attempt: int
     outcome: str
-    took_ms: float
-    note: str | None
-    load: Any
-    finished: bool
+    latency_ms: float
+    cache_status: str | None
+    load_report: Any
+    is_final: bool
     expires_at_ms: float
     endpoint: str | None
     answer: str | None
@@ -181,7 +181,7 @@
 
     at_ms: float
     key: int | None
-    place: list[list[str] | None]
+    constraint: list[list[str] | None]
     endpoints: list[str]
 
 
@@ -189,7 +189,7 @@
     """Something of the proxy's own, recorded at the level `proxy`; it is not replayed."""
 
     at_ms: float
-    what: str
+    name: str
     values: dict[str, Any]
 
 
--- a/calicofall/recording/record_queries.py
+++ b/calicofall/recording/record_queries.py
@@ -58,9 +58,9 @@
     endpoints: set[str] = field(default_factory=set)
     answer: str | None = None
 
-    def add_step(self, at_ms: float, what: str) -> None:
+    def add_step(self, at_ms: float, description: str) -> None:
         """Adds what happened at a moment."""
-        self.steps.append(f"{at_ms - self.arrived_at_ms:.1f} {what}")
+        self.steps.append(f"{at_ms - self.arrived_at_ms:.1f} {description}")
 
 
 def _request_events(stored_events: StoredEvents) -> Iterator[RequestEvent]:
@@ -97,7 +97,7 @@
         trace.answer = CLIENT_LEFT
         return
     if isinstance(event, AttemptReported):
-        trace.add_step(event.at_ms, f"{event.outcome} after {event.took_ms:.1f}")
+        trace.add_step(event.at_ms, f"{event.outcome} after {event.latency_ms:.1f}")
     if event.endpoint is not None:
         trace.endpoints.add(event.endpoint)
         trace.add_step(event.at_ms, f"to {event.endpoint}")
@@ -113,7 +113,7 @@
     Raises:
         ValueError: A condition is unknown, or its value is of the wrong form.
     """
-    wanted = {}
+    conditions = {}
     for part in text.split(","):
         name, equals, value = part.partition("=")
         if not equals or name not in CONDITIONS:
@@ -122,27 +122,27 @@
             float(value)
         if name == "key":
             int(value, 16)
-        wanted[name] = value
-    return wanted
+        conditions[name] = value
+    return conditions
 
 
 def matching_requests(
-    stored_events: StoredEvents, wanted: Mapping[str, str], began_at_ms: float
+    stored_events: StoredEvents, conditions: Mapping[str, str], began_at_ms: float
 ) -> Iterator[RequestTrace]:
     """Requests that match all conditions; "from" and "to" are in s after the record's beginning."""
     for trace in request_traces(stored_events):
-        if _matches(trace, wanted, (trace.arrived_at_ms - began_at_ms) / 1000.0):
+        if _matches(trace, conditions, (trace.arrived_at_ms - began_at_ms) / 1000.0):
             yield trace
 
 
-def _matches(trace: RequestTrace, wanted: Mapping[str, str], arrived_s: float) -> bool:
+def _matches(trace: RequestTrace, conditions: Mapping[str, str], arrived_s: float) -> bool:
     return (
-        wanted.get("id", trace.id) == trace.id
-        and ("key" not in wanted or trace.key == int(wanted["key"], 16))
-        and wanted.get("method", trace.method) == trace.method
-        and wanted.get("tenant", trace.tenant) == trace.tenant
-        and ("cache" not in wanted or wanted["cache"] in trace.endpoints)
-        and float(wanted.get("from", arrived_s)) <= arrived_s <= float(wanted.get("to", arrived_s))
+        conditions.get("id", trace.id) == trace.id
+        and ("key" not in conditions or trace.key == int(conditions["key"], 16))
+        and conditions.get("method", trace.method) == trace.method
+        and conditions.get("tenant", trace.tenant) == trace.tenant
+        and ("cache" not in conditions or conditions["cache"] in trace.endpoints)
+        and float(conditions.get("from", arrived_s)) <= arrived_s <= float(conditions.get("to", arrived_s))
     )
 
 
@@ -183,14 +183,14 @@
 
 
 def _table_row(replayer: Replayer, counts: Counter[str], at_s: float, now: float) -> dict[str, Any]:
-    view = replayer.view()
+    summary = replayer.router_summary()
     return {
         "s": at_s,
         **{name: counts[name] for name in COUNTED_COLUMNS},
         "aside": len(replayer.router.ejected_endpoints(now)),
-        "caches": view["caches"],
-        "fleet": view["fleet"][1],
-        "origin": view["origin"][1],
+        "caches": summary["caches"],
+        "fleet": summary["fleet"][1],
+        "origin": summary["origin"][1],
     }
 
 
--- a/calicofall/recording/recording_router.py
+++ b/calicofall/recording/recording_router.py
@@ -61,7 +61,7 @@
         super().__init__(settings, seed, now)
         self._record_stored = record
         self._naming = naming
-        self._drained_at = -1.0  # when it last had no more requests whose wait had ended (ms)
+        self._waits_drained_at = -1.0  # when it last had no more requests whose wait had ended (ms)
         self._observe_policy()
 
     def _record(self, event: events.Event) -> None:
@@ -87,8 +87,8 @@
         if not isinstance(self._naming, NoPseudonyms):
             router_access.observe_rankings(self, self._record_ranking)
 
-    def _record_ranking(self, key: int, place: PlacementConstraint, endpoints: list[str]) -> None:
-        names = [sorted(part) if part else None for part in place]
+    def _record_ranking(self, key: int, constraint: PlacementConstraint, endpoints: list[str]) -> None:
+        names = [sorted(value) if value else None for value in constraint]
         self._record(events.KeyRanked(0.0, self._naming.key(key), names, endpoints))
 
     @property
@@ -144,24 +144,26 @@
         request: Request,
         number: int,
         outcome: str,
-        took: float,
-        note: str | None = None,
-        load: object = None,
-        over: bool = False,
+        latency_ms: float,
+        cache_status: str | None = None,
+        load_report: object = None,
+        is_final: bool = False,
     ) -> str | None:
         """Records what became of an attempt, and the next decision."""
         expires_at = request.expires_at
-        endpoint = super().report_attempt(now, request, number, outcome, took, note, load, over)
+        endpoint = super().report_attempt(
+            now, request, number, outcome, latency_ms, cache_status, load_report, is_final
+        )
         self._record(
             events.AttemptReported(
                 now,
                 request.id,
                 number,
                 outcome,
-                took,
-                note,
-                load,
-                over,
+                latency_ms,
+                cache_status,
+                load_report,
+                is_final,
                 expires_at,
                 endpoint,
                 request.answer,
@@ -186,35 +188,35 @@
     def next_due_request(self, now: float) -> Request | None:
         """Records whose wait has ended."""
         request = super().next_due_request(now)
-        self._drained_at = now
+        self._waits_drained_at = now
         if request is not None:
             self._record(events.WaitEnded(now, request.id))
         return request
 
     def tick(self, now: float) -> float:
         """Records the wait until the next tick, and the log lines and actions that this one added."""
-        lines, chores = len(self.log_lines), len(self.actions)
-        wait = super().tick(now)
+        line_count, action_count = len(self.log_lines), len(self.actions)
+        wait_ms = super().tick(now)
         self._record(
             events.Ticked(
                 now,
-                wait if wait < inf else None,
-                self._drained_at == now,
-                self.log_lines[lines:],
+                wait_ms if wait_ms < inf else None,
+                self._waits_drained_at == now,
+                self.log_lines[line_count:],
                 [
-                    [part.hex() if isinstance(part, bytes) else part for part in stored_action(action)]
-                    for action in self.actions[chores:]
+                    [value.hex() if isinstance(value, bytes) else value for value in stored_action(action)]
+                    for action in self.actions[action_count:]
                 ],
             )
         )
-        return wait
+        return wait_ms
 
     # What other parts of the proxy put in
 
-    def set_process_count(self, parts: int) -> None:
+    def set_process_count(self, count: int) -> None:
         """Records how many processes this proxy has."""
-        self._record(events.ProcessCountSet(0.0, parts))
-        super().set_process_count(parts)
+        self._record(events.ProcessCountSet(0.0, count))
+        super().set_process_count(count)
 
     def restore_learned_state(self, now: float, learned: dict[str, dict[str, float]]) -> None:
         """Records what a former incarnation had learned."""
@@ -226,11 +228,11 @@
         self._record(events.SettingsApplied(now, pseudonymized_settings(deployment, self._naming)))
         super().apply_settings(now, deployment)
 
-    def set_quota_shares(self, quotas: dict[str, float], bears: float | None) -> None:
+    def set_quota_shares(self, quotas: dict[str, float], endpoint_rate: float | None) -> None:
         """Records this proxy's shares."""
         named = {self._naming.tenant(name): quota for name, quota in quotas.items()}
-        self._record(events.QuotaSharesSet(0.0, named, bears))
-        super().set_quota_shares(quotas, bears)
+        self._record(events.QuotaSharesSet(0.0, named, endpoint_rate))
+        super().set_quota_shares(quotas, endpoint_rate)
 
     def reinstate(self, now: float, name: str) -> None:
         """Records that an endpoint is no outlier."""
--- a/calicofall/recording/replayer.py
+++ b/calicofall/recording/replayer.py
@@ -20,7 +20,7 @@
 from calicofall.routing.request import Request
 from calicofall.routing.router import Router
 
-SHOWN_BEFORE = 12  # events that are shown before one that differs
+PRECEDING_EVENTS_SHOWN = 12  # events that are shown before one that differs
 
 RestoreState = Callable[[Router, dict[str, Any]], None]
 
@@ -61,14 +61,19 @@
     """
 
     def __init__(
-        self, event: list[Any], recorded: Any, replayed: Any, view: dict[str, Any], before: list[list[Any]]
+        self,
+        event: list[Any],
+        recorded: Any,
+        replayed: Any,
+        router_summary: dict[str, Any],
+        preceding_events: list[list[Any]],
     ) -> None:
         super().__init__(f"{event[0]} at {event[1]:.3f} ms: recorded {recorded}, played {replayed}")
         self.event = event
         self.recorded = recorded
         self.replayed = replayed
-        self.view = view
-        self.before = before
+        self.router_summary = router_summary
+        self.preceding_events = preceding_events
 
 
 class Replayer:
@@ -112,7 +117,7 @@
         if head.get("veiled"):
             router_access.use_rankings(self.router, self._rankings)
         self._stored: list[Any] = []  # the event that is played, as stored
-        self._before: deque[list[Any]] = deque(maxlen=SHOWN_BEFORE)
+        self._preceding_events: deque[list[Any]] = deque(maxlen=PRECEDING_EVENTS_SHOWN)
         self.requests: dict[str, Request] = dict(self.router.active_requests)
         self._players = self._players_by_type()
 
@@ -135,7 +140,7 @@
         event = decode_event(stored)
         self._players[type(event)](event)
         self.event_count += 1
-        self._before.append(stored)
+        self._preceding_events.append(stored)
         return event
 
     def _players_by_type(self) -> dict[type[Event], Callable[[Any], None]]:
@@ -183,7 +188,7 @@
         )
 
     def _play_ranking(self, event: events.KeyRanked) -> None:
-        zones, kinds = (frozenset(part) if part else None for part in event.place)
+        zones, kinds = (frozenset(value) if value else None for value in event.constraint)
         self._rankings[event.key, (zones, kinds)] = event.endpoints
 
     def _play_process_count(self, event: events.ProcessCountSet) -> None:
@@ -227,10 +232,10 @@
             request,
             event.attempt,
             event.outcome,
-            event.took_ms,
-            event.note,
-            event.load,
-            event.finished,
+            event.latency_ms,
+            event.cache_status,
+            event.load_report,
+            event.is_final,
         )
         self._compare_decision(event.at_ms, request, event.decision, endpoint)
 
@@ -251,17 +256,18 @@
         now = event.at_ms
         while event.waits_drained and (request := self.router.next_due_request(now)) is not None:
             self._compare(None, request.id)
-        played = self.router.tick(now)
-        said, done = (
+        wait_ms = self.router.tick(now)
+        log_lines, actions = (
             self.router.log_lines,
             [
-                [part.hex() if isinstance(part, bytes) else part for part in stored_action(action)]
+                [value.hex() if isinstance(value, bytes) else value for value in stored_action(action)]
                 for action in self.router.actions
             ],
         )
         self.router.log_lines, self.router.actions = [], []
         self._compare(
-            [event.wait_ms, event.log_lines, event.actions], [played if played < inf else None, said, done]
+            [event.wait_ms, event.log_lines, event.actions],
+            [wait_ms if wait_ms < inf else None, log_lines, actions],
         )
 
     def _use_slot_times(self, times: list[float]) -> None:
@@ -292,18 +298,20 @@
     def _compare(self, recorded: Any, replayed: Any) -> None:
         """Ends a strict replay where the record and the router differ."""
         if self.strict and recorded != replayed:
-            view = self.view(self._stored)
-            raise ReplayMismatchError(self._stored, recorded, replayed, view, [*self._before])
+            router_summary = self.router_summary(self._stored)
+            raise ReplayMismatchError(
+                self._stored, recorded, replayed, router_summary, [*self._preceding_events]
+            )
 
     # What is shown
 
-    def view(self, stored: list[Any] | None = None) -> dict[str, Any]:
+    def router_summary(self, stored: list[Any] | None = None) -> dict[str, Any]:
         """The router as it is now, in a few figures, and the request that a stored event is about."""
-        seen = router_access.describe_router(self.router)
+        summary = router_access.describe_router(self.router)
         request = self._request_of(stored)
         if request is None or stored is None:
-            return seen
-        seen["rpc"] = {
+            return summary
+        summary["rpc"] = {
             "id": request.id,
             "method": request.name,
             "key": request.key,
@@ -315,8 +323,8 @@
         }
         ranking = router_access.describe_ranking(self.router, stored[1], request)
         if ranking is not None:
-            seen["ranking"] = ranking
-        return seen
+            summary["ranking"] = ranking
+        return summary
 
     def _request_of(self, stored: list[Any] | None) -> Request | None:
         """The request that a stored event is about, if it is about one that is known."""
--- a/calicofall/recording/router_access.py
+++ b/calicofall/recording/router_access.py
@@ -13,7 +13,7 @@
 from calicofall.routing.request import Request
 from calicofall.routing.router import Router
 
-HOLD_AFTER_DIFFERENCE_MS = 15.0  # until the next look at a request that the record lets wait
+WAIT_AFTER_DIFFERENCE_MS = 15.0  # until the next look at a request that the record lets wait
 
 
 def observe_rankings(router: Router, observe: Callable[[int, PlacementConstraint, list[str]], None]) -> None:
@@ -68,7 +68,7 @@
         return
     router.active_requests[request.id] = request
     if endpoint is None:
-        router._schedule_wait(now, request, HOLD_AFTER_DIFFERENCE_MS)
+        router._schedule_wait(now, request, WAIT_AFTER_DIFFERENCE_MS)
 
 
 def forget_waits(router: Router, request: Request) -> None:
--- a/calicofall/recording/segment_writer.py
+++ b/calicofall/recording/segment_writer.py
@@ -80,7 +80,7 @@
         self._budget = self._max_budget  # bytes that may be written now
         self._budget_at = now
 
-    def put(self, event: list[Any]) -> None:
+    def add_event(self, event: list[Any]) -> None:
         """Takes a stored event. Does not fail: where there are too many, they are dropped and counted."""
         if len(self.events) >= MAX_EVENTS:
             self._drop_events()
@@ -94,31 +94,31 @@
         """A step that was handed out was not carried out: the segment has a gap, and ends."""
         self._complete = False
 
-    def turn(self, now: float, room: float) -> list[Step]:
+    def next_steps(self, now: float, available_bytes: float) -> list[Step]:
         """The steps to carry out next, in their order.
 
         Args:
             now: The moment (s).
-            room: How many bytes can be taken.
+            available_bytes: How many bytes the caller can accept now.
         """
         earned = (now - self._budget_at) * self.settings.bytes_per_s
         self._budget = min(self._max_budget, self._budget + earned)
         self._budget_at = now
         steps: list[Step] = []
-        if self._segment_open and self._is_segment_over(now):
+        if self._segment_open and self._segment_is_full(now):
             if self._complete:
-                steps += self._write_events(room)
+                steps += self._write_events(available_bytes)
             steps.append(EndSegment())
             self._segment_open = False
         if not self._segment_open:
-            if min(room, self._budget) < HEAD_RESERVE_BYTES:
+            if min(available_bytes, self._budget) < HEAD_RESERVE_BYTES:
                 if self.events:
                     self._drop_events()
                 return steps
             steps.append(self._begin_segment(now))
-        return steps + self._write_events(room)
+        return steps + self._write_events(available_bytes)
 
-    def _is_segment_over(self, now: float) -> bool:
+    def _segment_is_full(self, now: float) -> bool:
         return (
             not self._complete
             or now - self._segment_began_at >= self.settings.segment_s
@@ -139,20 +139,20 @@
         self._segment_bytes = 0
         self._segment_open = True
         self._complete = True
-        self._spend(len(content))
+        self._charge(len(content))
         return BeginSegment(content)
 
-    def _write_events(self, room: float) -> list[Step]:
+    def _write_events(self, available_bytes: float) -> list[Step]:
         """A frame of the events that wait; none where they are too many for the room or the rate."""
         if not self.events:
             return []
         content = frames.encode_json(self.events)
-        if len(content) > min(room, self._budget):
+        if len(content) > min(available_bytes, self._budget):
             self._drop_events()
             return []
         self.events_written += len(self.events)
         self.events.clear()
-        self._spend(len(content))
+        self._charge(len(content))
         return [AppendFrame(content)]
 
     def _drop_events(self) -> None:
@@ -160,6 +160,6 @@
         self.events.clear()
         self._complete = False
 
-    def _spend(self, size: int) -> None:
+    def _charge(self, size: int) -> None:
         self._budget -= size
         self._segment_bytes += size
--- a/calicofall/recording/state_codec.py
+++ b/calicofall/recording/state_codec.py
@@ -79,12 +79,12 @@
             raise UnsupportedStateError(f"a {cls.__name__} has no place in a state")
         return [stored.name, self.fields(stored, value)]
 
-    def fields(self, stored: StoredClass, thing: object) -> list[list[Any]]:
+    def fields(self, stored: StoredClass, instance: object) -> list[list[Any]]:
         """The stored fields of an object: names and encoded values."""
-        stored.check(thing)
+        stored.check(instance)
         return [
             [name, self.encode(self._named(stored.name, name, value))]
-            for name, value in stored.stored_values(thing)
+            for name, value in stored.stored_values(instance)
         ]
 
     def _named(self, stored_class: str, name: str, value: Any) -> Any:
@@ -124,10 +124,10 @@
     def _object(self, index: int) -> Any:
         if index not in self.objects:
             kind, content = self.table[index]
-            self._make(index, kind, content)
+            self._create(index, kind, content)
         return self.objects[index]
 
-    def _make(self, index: int, kind: str, content: Any) -> None:
+    def _create(self, index: int, kind: str, content: Any) -> None:
         """Makes the object of an entry; known by its index before it is filled, as objects may be cyclic."""
         if kind == "Random":
             self.objects[index] = random = Random()
@@ -144,15 +144,15 @@
             sequence.extend([self.decode(item) for item in content])
         else:
             stored = BY_STORED_NAME[kind]
-            self.objects[index] = thing = stored.empty()
-            self.set_fields(stored, thing, content)
+            self.objects[index] = instance = stored.new_instance()
+            self.set_fields(stored, instance, content)
 
-    def set_fields(self, stored: StoredClass, thing: object, fields: Iterable[tuple[str, Any]]) -> None:
+    def set_fields(self, stored: StoredClass, instance: object, fields: Iterable[tuple[str, Any]]) -> None:
         """Sets all fields of an object."""
         stored.check_names([name for name, _ in fields])
         for name, value in fields:
-            stored.set_field(thing, name, self.decode(value))
-        stored.finish(thing)
+            stored.set_field(instance, name, self.decode(value))
+        stored.finish_restore(instance)
 
 
 def encode_state(router: Router, naming: Naming | None = None) -> dict[str, Any]:
--- a/calicofall/recording/stored_class.py
+++ b/calicofall/recording/stored_class.py
@@ -31,16 +31,16 @@
     from_stored: Callable[[Any], tuple[Any, ...]]
 
 
-def attribute_names(thing: object) -> set[str]:
+def attribute_names(instance: object) -> set[str]:
     """The names of all attributes of an object, whether it has slots or a dictionary."""
-    slots = {name for cls in type(thing).__mro__ for name in cls.__dict__.get("__slots__", ())}
-    return slots.union(getattr(thing, "__dict__", ()))
+    slots = {name for cls in type(instance).__mro__ for name in cls.__dict__.get("__slots__", ())}
+    return slots.union(getattr(instance, "__dict__", ()))
 
 
-def _set_path(thing: object, path: str, value: object) -> None:
+def _set_path(instance: object, path: str, value: object) -> None:
     """Sets the attribute at a path, of a frozen dataclass too."""
     owner, _, name = path.rpartition(".")
-    object.__setattr__(attrgetter(owner)(thing) if owner else thing, name, value)
+    object.__setattr__(attrgetter(owner)(instance) if owner else instance, name, value)
 
 
 def _owner_of(path: str) -> str:
@@ -79,7 +79,7 @@
 
     def __post_init__(self) -> None:
         """Prepares the readers of fields, and the names that each part of an object may have."""
-        readers = [(name, self._reader(where)) for name, where in self.fields.items()]
+        readers = [(name, self._reader(source)) for name, source in self.fields.items()]
         known: dict[str, set[str]] = {"": set(), **{path: set() for path in self.components}}
         for path in self._all_paths():
             known[_owner_of(path)].add(path.rpartition(".")[2])
@@ -87,85 +87,85 @@
         object.__setattr__(self, "_known_names", known)
 
     @staticmethod
-    def _reader(where: str | ConvertedField) -> Callable[[Any], Any]:
-        if isinstance(where, str):
-            return attrgetter(where)
-        if len(where.paths) == 1:
-            read_one = attrgetter(where.paths[0])
-            return lambda thing: where.to_stored(read_one(thing))
-        read_all = attrgetter(*where.paths)
-        return lambda thing: where.to_stored(*read_all(thing))
+    def _reader(source: str | ConvertedField) -> Callable[[Any], Any]:
+        if isinstance(source, str):
+            return attrgetter(source)
+        if len(source.paths) == 1:
+            read_one = attrgetter(source.paths[0])
+            return lambda instance: source.to_stored(read_one(instance))
+        read_all = attrgetter(*source.paths)
+        return lambda instance: source.to_stored(*read_all(instance))
 
     def _all_paths(self) -> Iterator[str]:
-        for where in self.fields.values():
-            yield from (where,) if isinstance(where, str) else where.paths
+        for source in self.fields.values():
+            yield from (source,) if isinstance(source, str) else source.paths
         yield from self.components
         yield from self.aliases
         yield from self.not_stored
 
-    def unknown_attributes(self, thing: object) -> list[str]:
+    def unknown_attributes(self, instance: object) -> list[str]:
         """Paths of attributes that this description does not know, sorted."""
         unknown = []
         for owner, known in self._known_names.items():
-            part = attrgetter(owner)(thing) if owner else thing
+            part = attrgetter(owner)(instance) if owner else instance
             unknown += [f"{owner}.{name}".lstrip(".") for name in attribute_names(part) - known]
         if self.ignores_private:
             unknown = [path for path in unknown if not path.startswith("_")]
         return sorted(unknown)
 
-    def check(self, thing: object) -> None:
+    def check(self, instance: object) -> None:
         """Checks that writing an object would lose nothing.
 
         Raises:
             UnsupportedStateError: Some attribute is unknown or missing, or an alias holds another object.
         """
         try:
-            unknown = self.unknown_attributes(thing)
+            unknown = self.unknown_attributes(instance)
             if unknown:
                 names = ", ".join(unknown)
                 raise UnsupportedStateError(f"a {self.name} has no place in a state for: {names}")
             for path, target in self.aliases.items():
-                if attrgetter(path)(thing) is not attrgetter(target)(thing):
+                if attrgetter(path)(instance) is not attrgetter(target)(instance):
                     reason = f"{path} of a {self.name} is not the object that {target} holds"
                     raise UnsupportedStateError(reason)
         except AttributeError as missing:
             raise UnsupportedStateError(f"a {self.name} lacks an attribute: {missing}") from missing
 
-    def stored_values(self, thing: object) -> Iterator[tuple[str, Any]]:
+    def stored_values(self, instance: object) -> Iterator[tuple[str, Any]]:
         """The stored names and values of an object's fields, in the order in which they are written.
 
         Raises:
             UnsupportedStateError: The object lacks an attribute.
         """
-        for name, read in self._readers:
+        for name, reader in self._readers:
             try:
-                value = read(thing)
+                value = reader(instance)
             except AttributeError as missing:
                 raise UnsupportedStateError(f"a {self.name} lacks {name}: {missing}") from missing
             yield name, value
 
-    def empty(self) -> Any:
+    def new_instance(self) -> Any:
         """An object with its components, but without any field set."""
-        thing = object.__new__(self.live_class)
+        instance = object.__new__(self.live_class)
         for path, cls in self.components.items():
-            _set_path(thing, path, object.__new__(cls))
-        return thing
+            _set_path(instance, path, object.__new__(cls))
+        return instance
 
-    def set_field(self, thing: object, name: str, value: object) -> None:
+    def set_field(self, instance: object, name: str, value: object) -> None:
         """Sets the attribute, or attributes, that a stored field holds."""
-        where = self.fields[name]
-        if isinstance(where, str):
-            _set_path(thing, where, value)
+        source = self.fields[name]
+        if isinstance(source, str):
+            _set_path(instance, source, value)
             return
-        for path, part in zip(where.paths, where.from_stored(value), strict=True):
-            _set_path(thing, path, part)
+        for path, part in zip(source.paths, source.from_stored(value), strict=True):
+            _set_path(instance, path, part)
 
-    def finish(self, thing: object) -> None:
+    def finish_restore(self, instance: object) -> None:
         """Sets what follows from the stored fields, once all of them are set."""
         for path, target in self.aliases.items():
-            _set_path(thing, path, attrgetter(target)(thing))
+            _set_path(instance, path, attrgetter(target)(instance))
         if self.after_restore is not None:
-            self.after_restore(thing)
+            self.after_restore(instance)
 
     def check_names(self, names: list[str]) -> None:
         """Checks the names of the fields that a record holds of an object.
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -67,7 +67,7 @@
             SETTINGS, head, lambda: state_codec.encode_state(self, kept), now / 1000.0
         )
         self._segments: list[bytes] = []
-        super().__init__(deployment, seed, now, self._segment_writer.put, naming)
+        super().__init__(deployment, seed, now, self._segment_writer.add_event, naming)
         RecordingInMemory.made.append(self)
 
     def tick(self, now: float) -> float:
@@ -76,7 +76,7 @@
         return wait
 
     def write_segments(self, now: float) -> None:
-        for step in self._segment_writer.turn(now / 1000.0, 1e9):
+        for step in self._segment_writer.next_steps(now / 1000.0, 1e9):
             if isinstance(step, BeginSegment):
                 self._segments.append(frames.file_header())
             if not isinstance(step, EndSegment):
@@ -376,35 +376,35 @@
 
 def test_segment_writer_at_the_age_or_size_limit_begins_a_segment_with_the_state() -> None:
     writer = make_segment_writer()
-    writer.put(["a", 1.0])
-    first = writer.turn(0.1, 1e9)
+    writer.add_event(["a", 1.0])
+    first = writer.next_steps(0.1, 1e9)
     assert types_of(first) == [BeginSegment, AppendFrame]
     assert json_of(first[0])["state"] is None
-    assert writer.turn(0.2, 1e9) == []
-    writer.put(["b", 2.0])
-    later = writer.turn(10.2, 1e9)
+    assert writer.next_steps(0.2, 1e9) == []
+    writer.add_event(["b", 2.0])
+    later = writer.next_steps(10.2, 1e9)
     assert types_of(later) == [AppendFrame, EndSegment, BeginSegment]
     assert json_of(later[2])["state"] is not None
     assert json_of(later[2])["segment"] == 1
-    writer.put(["c", 3.0, "x" * 5_000_000])
-    assert types_of(writer.turn(10.5, 1e9)) == [AppendFrame]
-    assert types_of(writer.turn(10.8, 1e9)) == [EndSegment, BeginSegment]
+    writer.add_event(["c", 3.0, "x" * 5_000_000])
+    assert types_of(writer.next_steps(10.5, 1e9)) == [AppendFrame]
+    assert types_of(writer.next_steps(10.8, 1e9)) == [EndSegment, BeginSegment]
 
 
 def test_segment_writer_without_room_drops_events_counts_them_and_ends_the_segment() -> None:
     writer = make_segment_writer()
-    writer.put(["a", 1.0])
-    writer.turn(0.1, 1e9)
-    writer.put(["b", 2.0])
-    assert types_of(writer.turn(0.2, 3.0)) == []  # the writer has no room
-    writer.put(["c", 3.0])
-    assert types_of(writer.turn(0.3, 3.0)) == [EndSegment]
+    writer.add_event(["a", 1.0])
+    writer.next_steps(0.1, 1e9)
+    writer.add_event(["b", 2.0])
+    assert types_of(writer.next_steps(0.2, 3.0)) == []  # the writer has no room
+    writer.add_event(["c", 3.0])
+    assert types_of(writer.next_steps(0.3, 3.0)) == [EndSegment]
     assert writer.events_dropped == 2
-    writer.put(["d", 4.0])
-    assert types_of(writer.turn(0.4, 1e9)) == [BeginSegment]
+    writer.add_event(["d", 4.0])
+    assert types_of(writer.next_steps(0.4, 1e9)) == [BeginSegment]
     assert writer.events_dropped == 3  # the event is in the state
-    writer.put(["e", 5.0])
-    assert types_of(writer.turn(0.5, 1e9)) == [AppendFrame]
+    writer.add_event(["e", 5.0])
+    assert types_of(writer.next_steps(0.5, 1e9)) == [AppendFrame]
     assert writer.events_written == 2
 
 
@@ -412,12 +412,14 @@
     writer = make_segment_writer(kb_per_s=100.0)
     bytes_taken = 0
     for number in range(400):
-        writer.put(["a", 1.0, "x" * 50_000])
-        bytes_taken += sum(len(getattr(step, "content", b"")) for step in writer.turn(number / 10.0, 1e9))
+        writer.add_event(["a", 1.0, "x" * 50_000])
+        bytes_taken += sum(
+            len(getattr(step, "content", b"")) for step in writer.next_steps(number / 10.0, 1e9)
+        )
     assert bytes_taken <= segment_writer.HEAD_RESERVE_BYTES + 100_000 * 41
     assert writer.events_dropped > 200
     for _ in range(3 * segment_writer.MAX_EVENTS):
-        writer.put(["a", 1.0])
+        writer.add_event(["a", 1.0])
     assert len(writer.events) <= segment_writer.MAX_EVENTS
 
 
--- a/tests/test_state_schema.py
+++ b/tests/test_state_schema.py
@@ -61,18 +61,18 @@
     return router
 
 
-def live_objects(thing: Any, found: dict[int, Any]) -> dict[int, Any]:
+def live_objects(instance: Any, found: dict[int, Any]) -> dict[int, Any]:
     """All objects of stored classes that can be reached by attributes and containers, by id()."""
-    if isinstance(thing, dict):
-        for pair in thing.items():
+    if isinstance(instance, dict):
+        for pair in instance.items():
             live_objects(pair, found)
-    elif isinstance(thing, list | tuple | set | frozenset):
-        for item in thing:
+    elif isinstance(instance, list | tuple | set | frozenset):
+        for item in instance:
             live_objects(item, found)
-    elif type(thing).__module__.startswith("calicofall.") and id(thing) not in found:
-        found[id(thing)] = thing
-        for name in attribute_names(thing):
-            live_objects(getattr(thing, name, None), found)
+    elif type(instance).__module__.startswith("calicofall.") and id(instance) not in found:
+        found[id(instance)] = instance
+        for name in attribute_names(instance):
+            live_objects(getattr(instance, name, None), found)
     return found
 
 
@@ -86,19 +86,21 @@
 def test_schema_covers_every_attribute_of_live_objects() -> None:
     """Every attribute, of components too, is stored or is listed with the reason why it is not."""
     router = live_router()
-    objects = [thing for thing in live_objects(router, {}).values() if type(thing) in BY_LIVE_CLASS]
+    objects = [instance for instance in live_objects(router, {}).values() if type(instance) in BY_LIVE_CLASS]
 
-    assert {type(thing) for thing in objects} == BY_LIVE_CLASS.keys()
-    assert [BY_LIVE_CLASS[type(thing)].unknown_attributes(thing) for thing in objects] == [[]] * len(objects)
+    assert {type(instance) for instance in objects} == BY_LIVE_CLASS.keys()
+    assert [BY_LIVE_CLASS[type(instance)].unknown_attributes(instance) for instance in objects] == [[]] * len(
+        objects
+    )
     assert ROUTER.unknown_attributes(router) == []
-    for thing in objects:
-        BY_LIVE_CLASS[type(thing)].check(thing)
+    for instance in objects:
+        BY_LIVE_CLASS[type(instance)].check(instance)
 
 
 def test_schema_names_only_attributes_that_exist() -> None:
     """A path that leads nowhere would be found only when a proxy writes its state."""
     objects = live_objects(live_router(), {}).values()
-    by_class = {type(thing): thing for thing in objects}
+    by_class = {type(instance): instance for instance in objects}
 
     for stored in (ROUTER, *STORED_CLASSES):
         names = [name for name, _ in stored.stored_values(by_class[stored.live_class])]
@@ -115,14 +117,14 @@
 def test_encode_state_with_an_unknown_attribute_raises_unsupported_state_error(stored: StoredClass) -> None:
     """An attribute that the schema does not know is an error, whatever its value is."""
     objects = live_objects(live_router(), {}).values()
-    thing = next(thing for thing in objects if type(thing) is stored.live_class)
+    instance = next(instance for instance in objects if type(instance) is stored.live_class)
 
     class Extended(stored.live_class):  # type: ignore[name-defined, misc]  # a class of the parameter
         pass
 
     extended = object.__new__(Extended)
-    for name in attribute_names(thing):
-        object.__setattr__(extended, name, getattr(thing, name))
+    for name in attribute_names(instance):
+        object.__setattr__(extended, name, getattr(instance, name))
     extended.added_later = 1
 
     with pytest.raises(UnsupportedStateError, match="added_later"):
@@ -228,10 +230,10 @@
 
 def test_stored_class_with_components_restores_fields_aliases_and_what_follows() -> None:
     """Components are made empty; frozen ones are filled too, and a shared object is one again."""
-    device = DEVICE.empty()
+    device = DEVICE.new_instance()
     for name, value in {"title": "d2", "ramp_ms": 50.0, "limits": [2.0, 5.0], "since": {"a": 1.0}}.items():
         DEVICE.set_field(device, name, value)
-    DEVICE.finish(device)
+    DEVICE.finish_restore(device)
 
     assert (device.name, device.ramp.length_ms, device.bounds) == ("d2", 50.0, Bounds(2.0, 5.0))
     assert device.started is device.ramp.started
