--- a/calicofall/cli/__init__.py
+++ b/calicofall/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, one module for each group of commands."""
+"""The command line, with one module per group of commands."""
--- a/calicofall/cli/fleet.py
+++ b/calicofall/cli/fleet.py
@@ -1,8 +1,8 @@
 """The command groups `settings` (check, diff, steps, seal, try, publish, status) and `fleet` (status).
 
 Invariants:
-    - A document that is wrong, or that may not follow the version in force, is not published.
-    - What is wrong is one line, and an exit code of `ExitCode`.
+    - A document that is invalid, or that may not follow the version in force, is not published.
+    - An error is reported as one line and an exit code of `ExitCode`.
 """
 
 import sys
@@ -20,12 +20,12 @@
 from calicofall.fleet.settings_document import SettingsDocument
 from calicofall.fleet.settings_fields import Binding
 
-CANARY_GRACE_S = 3.0  # after its duration, in which a canary has to be over
-CANARY_POLL_S = 1.0  # between two polls of the proxies that try a document, at most
-CANARY_POLLS = 5  # at least, during a canary
-SHOWN_CHARACTERS = 60  # of a value of the settings
-SHOWN_PROXIES = 8  # of those to which a proxy is not there
-NO_STATE = ""  # of a canary that a proxy has not told of yet
+CANARY_GRACE_S = 3.0  # time after the duration of a canary within which it has to end
+CANARY_POLL_S = 1.0  # maximum interval between polls of the proxies that try a document
+CANARY_POLLS = 5  # minimum number of polls during a canary
+SHOWN_CHARACTERS = 60  # maximum length at which a value of the settings is shown
+SHOWN_PROXIES = 8  # maximum number of proxies shown that do not see a proxy
+NO_STATE = ""  # state of a canary that a proxy has not reported yet
 UNFINISHED = (NO_STATE, CanaryState.TRYING)
 
 
@@ -42,7 +42,7 @@
     """Reads a document from a file.
 
     Raises:
-        CommandError: if there is no such file, or the document is wrong.
+        CommandError: if the file cannot be read, or the document is invalid.
     """
     try:
         with open(path, "rb") as file:
@@ -55,14 +55,14 @@
 
 
 def load_json(path: str) -> dict[str, Any]:
-    """Reads the text of a document that was checked before."""
+    """Reads the JSON of a document that was validated before."""
     with open(path, "rb") as file:
         data: dict[str, Any] = orjson.loads(file.read())
     return data
 
 
 def load_successor(path: str, after: str | None) -> SettingsDocument:
-    """Reads a document; ends the command if it may not follow the one in the file `after`."""
+    """Reads a document, and ends the command if it may not follow the one in the file `after`."""
     document = load_document(path)
     errors = settings_document.succession_errors(load_document(after), document) if after else []
     if errors:
@@ -72,14 +72,14 @@
 
 
 def show_published_first(source: str, document: SettingsDocument) -> None:
-    """Says that another document was published first."""
+    """Prints that another document was published first."""
     click.echo(
         f"{source}: version {document.previous} is not the latest any more: another was published first"
     )
 
 
 def shorten(value: object) -> str:
-    """A value as JSON, cut off if it is long."""
+    """Returns a value as JSON, truncated if it is long."""
     text = orjson.dumps(value).decode()
     return text if len(text) <= SHOWN_CHARACTERS else text[: SHOWN_CHARACTERS - 3] + "..."
 
@@ -89,14 +89,18 @@
 
 @click.group()
 def settings() -> None:
-    """Settings documents with versions."""
+    """Check, try and publish versioned settings documents."""
 
 
 @settings.command()
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--after", type=click.Path(dir_okay=False), help="The version in force, which it is to follow.")
+@click.option(
+    "--after",
+    type=click.Path(dir_okay=False),
+    help="File of the version in force, which the document is to follow.",
+)
 def check(file: str, after: str | None) -> None:
-    """Whether a document is right, and may follow another. Exit: 0 right, 1 may not follow, 2 wrong."""
+    """Validate a document, and whether it may follow another. Exit: 0 valid, 1 may not follow, 2 invalid."""
     document = load_document(file)
     errors = settings_document.succession_errors(load_document(after), document) if after else []
     for error in errors:
@@ -112,7 +116,7 @@
 @settings.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 def seal(file: str) -> None:
-    """Writes a document with its digest to standard output."""
+    """Write a document with its digest to standard output."""
     load_document(file, sealed_only=False)
     sealed = settings_document.seal_document(load_json(file))
     click.echo(orjson.dumps(sealed, option=orjson.OPT_INDENT_2).decode())
@@ -122,7 +126,7 @@
 @click.argument("old", type=click.Path(dir_okay=False))
 @click.argument("new", type=click.Path(dir_okay=False))
 def diff(old: str, new: str) -> None:
-    """What differs, and how it binds. Exit: 0 nothing that binds, 1 something does, 2 a wrong document."""
+    """Show changes and whether they are binding. Exit: 0 none is binding, 1 some are, 2 invalid document."""
     changes = settings_compatibility.changes(load_document(old).settings, load_document(new).settings)
     for change in changes:
         field = change.field
@@ -137,11 +141,11 @@
 @click.argument("old", type=click.Path(dir_okay=False))
 @click.argument("new", type=click.Path(dir_okay=False))
 def steps(old: str, new: str) -> None:
-    """The versions to publish one after the other, one document a line, each sealed."""
+    """Print the versions to publish in succession, one sealed document per line."""
     first = load_document(old)
     last = load_document(new)
-    plan = settings_compatibility.publication_steps(first.settings, last.settings)
-    for version, step in enumerate(plan, first.version + 1):
+    step_settings = settings_compatibility.publication_steps(first.settings, last.settings)
+    for version, step in enumerate(step_settings, first.version + 1):
         data = last.to_json() | {"version": version, "after": version - 1, "settings": step}
         click.echo(orjson.dumps(settings_document.seal_document(data)).decode())
 
@@ -150,7 +154,7 @@
 
 
 class CanaryRun:
-    """Proxies that try a document, and what they have told of it."""
+    """Proxies that try a document, and the states that they reported."""
 
     def __init__(self, document: SettingsDocument, addresses: tuple[str, ...]) -> None:
         self.document = document
@@ -158,7 +162,7 @@
         self.states: dict[str, str] = dict.fromkeys(addresses, NO_STATE)
 
     def wait(self, duration: float) -> None:
-        """Polls the proxies until all have finished, one fails, or the time (s) is over."""
+        """Polls the proxies until all have finished, one fails, or duration (s) and grace time are over."""
         ends_at = time.monotonic() + duration + CANARY_GRACE_S
         while time.monotonic() < ends_at and any(state in UNFINISHED for state in self.states.values()):
             time.sleep(min(CANARY_POLL_S, duration / CANARY_POLLS))
@@ -169,7 +173,7 @@
                 break
 
     def finish(self) -> ExitCode:
-        """Names the proxies that have not finished; `RIGHT` if all do well."""
+        """Prints the proxies that have not finished, and returns `OK` if all report success."""
         for address, state in self.states.items():
             if state in UNFINISHED:
                 click.echo(f"{address}: version {self.document.version}: no verdict yet")
@@ -181,9 +185,9 @@
     def _poll(self, address: str) -> None:
         try:
             figures = query_proxy(address, "versions")
-        except CommandError:  # what it tries may have ended the process
-            lost = f"{self.document.version} {CanaryState.FAILING} why=it does not answer"
-            figures = {"settings.trial": lost}
+        except CommandError:  # the document that it tries may have ended the process
+            unreachable = f"{self.document.version} {CanaryState.FAILING} why=it does not answer"
+            figures = {"settings.trial": unreachable}
         refused = figures.get("settings.refused", "").replace(" ", " refused why=", 1)
         for text in (figures.get("settings.trial", ""), refused):
             version, _, rest = text.partition(" ")
@@ -196,47 +200,49 @@
 def run_canary(
     document: SettingsDocument, source: str, addresses: tuple[str, ...], duration: float, increase: float
 ) -> ExitCode:
-    """Has the proxies at these addresses try a document; `RIGHT` if all do well.
+    """Runs a canary of a document at the proxies with these addresses; returns `OK` if all report success.
 
-    A proxy that goes on after this has ended ends its canary by itself.
+    A proxy whose canary is still running when this function returns ends it by itself.
 
     Args:
-        document: what is tried.
+        document: the document to try.
         source: the address that serves the settings.
         addresses: management addresses of the proxies.
-        duration: of the canary (s).
-        increase: by how much the part of requests that are not completed may grow.
+        duration: duration of the canary (s).
+        increase: tolerated increase of the fraction of requests that are not completed.
     """
-    numbers = {address: int(query_proxy(address, "versions")["settings.me"]) for address in addresses}
-    plan = {"members": sorted(numbers.values()), "s": duration, "worse": increase}
-    data = settings_document.seal_document(document.to_json() | {"trial": plan})
+    proxy_numbers = {address: int(query_proxy(address, "versions")["settings.me"]) for address in addresses}
+    canary_plan = {"members": sorted(proxy_numbers.values()), "s": duration, "worse": increase}
+    data = settings_document.seal_document(document.to_json() | {"trial": canary_plan})
     if not post_document(source, "/api/settings/trial", data):
         show_published_first(source, document)
         return ExitCode.DIFFERENT
-    run = CanaryRun(document, addresses)
-    run.wait(duration)
-    return run.finish()
+    canary_run = CanaryRun(document, addresses)
+    canary_run.wait(duration)
+    return canary_run.finish()
 
 
 after_option = click.option(
-    "--after", type=click.Path(dir_okay=False), help="The version in force, to be followed."
+    "--after",
+    type=click.Path(dir_okay=False),
+    help="File of the version in force, which the document is to follow.",
 )
-source_option = click.option("--source", required=True, help="The address that serves the settings.")
+source_option = click.option("--source", required=True, help="Address that serves the settings.")
 duration_option = click.option(
-    "--for", "span", type=click.FloatRange(1.0, 3600.0), default=10.0, help="s of a trial."
+    "--for", "span", type=click.FloatRange(1.0, 3600.0), default=10.0, help="Duration of a trial (s)."
 )
 increase_option = click.option(
     "--worse",
     type=click.FloatRange(0.001, 1.0),
     default=0.05,
-    help="By how much the part of RPCs that are not completed may grow.",
+    help="Tolerated increase of the fraction of requests that are not completed.",
 )
 
 
 @settings.command(
     name="try",
-    help="Have the proxies at these management addresses try a document, published or not at all. "
-    "Exit: 0 all do well, 1 one is failing, or it may not follow, 2 wrong, 3 too little was seen.",
+    help="Try a document, published or not, at the proxies with these management addresses. "
+    "Exit: 0 all succeed, 1 one is failing, or it may not follow, 2 invalid, 3 too few requests.",
 )
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.argument("addresses", nargs=-1, required=True)
@@ -247,24 +253,24 @@
 def try_document(
     file: str, addresses: tuple[str, ...], source: str, after: str | None, span: float, worse: float
 ) -> None:
-    """Has proxies try a document."""
+    """Tries a document at some proxies."""
     sys.exit(run_canary(load_successor(file, after), source, addresses, span, worse))
 
 
 @settings.command(
-    help="Publish a document. Exit: 0 taken, 1 another was published first, it may not follow, or a trial "
-    "failed, 2 wrong, 3 a trial saw too little."
+    help="Publish a document. Exit: 0 published, 1 another was published first, it may not follow, or a "
+    "trial failed, 2 invalid, 3 a trial had too few requests."
 )
 @click.argument("file", type=click.Path(dir_okay=False))
 @source_option
 @after_option
-@click.option("--try", "trials", multiple=True, help="The management address of a proxy to try it first.")
+@click.option("--try", "trials", multiple=True, help="Management address of a proxy that tries it first.")
 @duration_option
 @increase_option
 def publish(
     file: str, source: str, after: str | None, trials: tuple[str, ...], span: float, worse: float
 ) -> None:
-    """Publishes a document, after a canary where proxies are named for it."""
+    """Publishes a document, after a canary if proxies are given for it."""
     document = load_successor(file, after)
     if trials:
         code = run_canary(document, source, trials, span, worse)
@@ -277,41 +283,41 @@
     click.echo(f"{source}: version {document.version} published")
 
 
-# What proxies say of themselves
+# Status of proxies
 
 
 @settings.command()
 @click.argument("addresses", nargs=-1, required=True)
 def status(addresses: tuple[str, ...]) -> None:
-    """What proxies act on, by their management addresses. Exit: 0 all on one version, 1 not, 2 no answer."""
-    seen = set()
+    """Show the versions in effect at proxies, by management address. Exit: 0 all equal, 1 not, 2 no reply."""
+    states = set()
     for address in addresses:
         figures = {
             name.removeprefix("settings."): value for name, value in query_proxy(address, "versions").items()
         }
-        seen.add((figures["held"], figures["leased"], figures["digest"]))
+        states.add((figures["held"], figures["leased"], figures["digest"]))
         click.echo(
             f"{address}: in effect {figures['in_effect']}, held {figures['held']}, leased "
             f"{figures['leased']} ({figures['lease_left_s']} s), D {figures['bound_s']} s"
         )
-    agreed = len(seen) == 1 and all(leased == "1" for _, leased, _ in seen)
+    agreed = len(states) == 1 and all(leased == "1" for _, leased, _ in states)
     sys.exit(ExitCode.OK if agreed else ExitCode.DIFFERENT)
 
 
 @click.group()
 def fleet() -> None:
-    """The fleet as its proxies see each other."""
+    """Show the fleet as seen by its proxies."""
 
 
 @fleet.command(
     name="status",
-    help="Who is there, by whom, parts of limits, verdicts on caches, from management addresses. "
-    "Exit: 0 all are there, 1 some are away, doubted or cut off, 2 no answer.",
+    help="Show membership, shares of limits and decisions on caches, from management addresses. "
+    "Exit: 0 all proxies are present, 1 some are away, doubted or cut off, 2 no answer.",
 )
 @click.argument("addresses", nargs=-1, required=True)
 def fleet_status(addresses: tuple[str, ...]) -> None:
-    """Shows the membership, the quotas and the outliers that proxies see."""
-    unreachable_to: dict[str, list[str]] = {}  # by proxy, to which proxies it is not there
+    """Shows the membership, the quotas and the outliers as seen by proxies."""
+    unreachable_to: dict[str, list[str]] = {}  # by proxy, the proxies that do not see it
     complete = True
     for address in addresses:
         figures = query_proxy(address, "members")
@@ -328,7 +334,7 @@
 
 
 def _show_membership(address: str, figures: dict[str, str]) -> bool:
-    """Shows how many peers a proxy sees in each state; whether it is connected and misses none."""
+    """Shows the number of peers in each state; returns whether the proxy is connected and sees all peers."""
     counts = {name: figures[f"members.{name}"] for name in ("here", "doubted", "away", "unmet")}
     isolated = figures["members.alone"] == "1"
     click.echo(
@@ -341,7 +347,7 @@
 
 def _show_limits_and_verdicts(address: str) -> None:
     for kind in ("limit", "verdict"):
-        with suppress(CommandError):  # where quotas are not leased, or outlier reports not exchanged
+        with suppress(CommandError):  # proxies without quota leases or outlier reports reject the call
             for name, value in query_proxy(address, f"{kind}s").items():
                 if name.startswith(f"{kind}."):
                     click.echo(f"  {name}: {value}")
--- a/calicofall/cli/main.py
+++ b/calicofall/cli/main.py
@@ -1,6 +1,6 @@
-"""The command line: serve, check a configuration, version, and the command groups of the other modules.
+"""The command line: `serve`, `check`, `version`, `replay`, and the command groups of the other modules.
 
-A start on a wrong configuration ends with one line and a non-zero exit code.
+A start with an invalid configuration prints one line and ends with a non-zero exit code.
 """
 
 import asyncio
@@ -17,10 +17,10 @@
 
 
 def configuration(path: str | None, again: bool = False) -> dict[str, Any]:
-    """The configuration of a proxy; see `load_node_file`.
+    """Loads the configuration of a proxy; see `load_node_file`.
 
     Raises:
-        click.ClickException: The file is not told, cannot be read, or its content is wrong.
+        click.ClickException: No file is given, it cannot be read, or its content is invalid.
     """
     try:
         return load_node_file(path, again)
@@ -31,14 +31,16 @@
 @click.group(invoke_without_command=True, context_settings={"help_option_names": ["-h", "--help"]})
 @click.pass_context
 def main(context: click.Context) -> None:
-    """A router for fleets of cache servers. Without a command it serves."""
+    """A router for fleets of cache servers. Without a command it runs `serve`."""
     if context.invoked_subcommand not in (None, "serve"):
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP, signal.SIGTERM})
     if context.invoked_subcommand is None:
         context.invoke(serve)
 
 
-config_option = click.option("--config", type=click.Path(dir_okay=False), help="Instead of $PROXY_CONFIG.")
+config_option = click.option(
+    "--config", type=click.Path(dir_okay=False), help="Configuration file; the default is $PROXY_CONFIG."
+)
 
 
 @main.command()
@@ -64,7 +66,7 @@
 @main.command()
 @config_option
 def check(config: str | None) -> None:
-    """Read a configuration and say what is wrong with it."""
+    """Validate a configuration and print what is wrong with it."""
     node = configuration(config)
     methods = node["settings"]["methods"]
     known = (node.get("known") or {}).get("endpoints") or []
@@ -74,13 +76,13 @@
 
 
 class LazyGroup(click.Group):
-    """A command group whose module is imported only when it is used: a proxy that serves loads none of it.
+    """A command group whose module is imported only when it is used, so that `serve` does not load it.
 
     Args:
-        module: The module of `calicofall.cli` that defines the group, under the name of the group.
+        module: The module of `calicofall.cli` that defines the group as an attribute with the group's name.
         name: The name of the group.
-        help_text: What `--help` says of it.
-        hidden: Whether `--help` of the program leaves it out.
+        help_text: Description in the output of `--help`.
+        hidden: Whether the output of `--help` omits the group.
     """
 
     def __init__(self, module: str, name: str, help_text: str, hidden: bool = False) -> None:
@@ -93,30 +95,30 @@
         return group
 
     def list_commands(self, context: click.Context) -> list[str]:
-        """The names of the group's commands."""
+        """Returns the names of the group's commands."""
         return self._load().list_commands(context)
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
-        """A command of the group."""
+        """Returns a command of the group; None if there is no command of that name."""
         return self._load().get_command(context, name)
 
 
-STAGE_HELP = "Many processes with faults between them, and a referee."
+STAGE_HELP = "Run scenarios with many processes and injected faults, and check the results."
 main.add_command(LazyGroup("testbed", "stage", STAGE_HELP))
 main.add_command(LazyGroup("testbed", "stage", STAGE_HELP, hidden=True), name="testbed")
-main.add_command(LazyGroup("record", "record", "Records of proxies: played again, looked through."))
-main.add_command(LazyGroup("fleet", "settings", "Settings documents with versions."))
-main.add_command(LazyGroup("fleet", "fleet", "The fleet as its proxies see each other."))
+main.add_command(LazyGroup("record", "record", "Replay and query the records of proxies."))
+main.add_command(LazyGroup("fleet", "settings", "Check, try and publish versioned settings documents."))
+main.add_command(LazyGroup("fleet", "fleet", "Show the fleet as seen by its proxies."))
 
 
 @main.command(context_settings={"ignore_unknown_options": True, "help_option_names": []})
 @click.argument("arguments", nargs=-1, type=click.UNPROCESSED)
 def replay(arguments: tuple[str, ...]) -> None:
-    """Play records again, and hold each verdict against the recorded one."""
+    """Replay records and compare each decision with the recorded one."""
     import_module("calicofall.cli.record").replay.main([*arguments], prog_name="calicofall replay")
 
 
 @main.command()
 def version() -> None:
-    """Say which version this is."""
+    """Print the version of the program."""
     click.echo(__version__)
--- a/calicofall/cli/management.py
+++ b/calicofall/cli/management.py
@@ -1,7 +1,7 @@
-"""Calls of the command line to other processes: a proxy's management address, and the source of settings.
+"""Requests of the command line to other processes: to a proxy's management address and the settings source.
 
 Invariants:
-    - An address that cannot be reached, or that answers what was not expected, ends the command with one line
+    - An address that cannot be reached, or that sends an unexpected answer, ends the command with one line
       and exit code 2.
 """
 
@@ -13,27 +13,27 @@
 
 from calicofall.config.addresses import parse_address
 
-TIMEOUT_S = 5.0  # of a connection, and of each read
+TIMEOUT_S = 5.0  # for connecting, and for each read
 READ_BYTES = 65_536
-SHOWN_BYTES = 60  # of an answer that was not expected
+SHOWN_BYTES = 60  # of an unexpected answer
 PUBLISHED_STATUS = (b"200", b"201", b"204")
 CONFLICT_STATUS = b"409"  # another document was published first
 
 
 class CommandError(click.ClickException):
-    """Ends a command with one line on standard error, and the exit code for what is wrong."""
+    """Ends a command with one line on standard error and exit code 2."""
 
     exit_code = 2
 
 
 def _exchange(address: str, data: bytes) -> bytes:
-    """Sends one request to an address; returns all that comes back."""
+    """Sends one request to an address and returns the whole answer."""
     try:
         with socket.create_connection(parse_address(address), timeout=TIMEOUT_S) as connection:
             connection.sendall(data)
             answer = b""
-            while part := connection.recv(READ_BYTES):
-                answer += part
+            while chunk := connection.recv(READ_BYTES):
+                answer += chunk
             return answer
     except ValueError as error:
         raise CommandError(str(error)) from error
@@ -42,13 +42,13 @@
 
 
 def post_document(source: str, path: str, document: dict[str, Any]) -> bool:
-    """Hands a document to the source of settings.
+    """Posts a document to the source of settings.
 
     Returns:
         False if another document was published first.
 
     Raises:
-        CommandError: if the source cannot be reached, or takes no document.
+        CommandError: if the source cannot be reached or rejects the document.
     """
     body = orjson.dumps(document)
     head = (
@@ -60,26 +60,31 @@
     if status == [CONFLICT_STATUS]:
         return False
     if not status or status[0] not in PUBLISHED_STATUS:
-        raise CommandError(f"{source}: answered {answer[:SHOWN_BYTES].decode(errors='replace')!r}")
+        raise CommandError(
+            f"{source}: expected HTTP status 200, 201 or 204, "
+            f"found {answer[:SHOWN_BYTES].decode(errors='replace')!r}"
+        )
     return True
 
 
 def query_proxy(address: str, call: str) -> dict[str, str]:
-    """What a proxy says of itself at its management address.
+    """Queries a proxy at its management address.
 
     Args:
         address: the management address.
         call: name of the call, such as "versions".
 
     Returns:
-        The answer's lines, by name.
+        The values of the answer's lines, by name.
 
     Raises:
-        CommandError: if the proxy cannot be reached, or does not know the call.
+        CommandError: if the proxy cannot be reached or does not support the call.
     """
     lines = _exchange(address, f"{call}\n".encode()).decode(errors="replace").splitlines()
     if not lines or not lines[0].startswith("+OK"):
-        raise CommandError(f"{address}: {lines[0] if lines else 'nothing'}: no {call} there")
+        raise CommandError(
+            f"{address}: expected +OK for the call {call}, found {lines[0] if lines else 'an empty answer'}"
+        )
     figures = {}
     for line in lines[1:-1]:
         name, _, value = line.partition(":")
--- a/calicofall/cli/record.py
+++ b/calicofall/cli/record.py
@@ -11,7 +11,7 @@
 from calicofall.recording import record_queries
 from calicofall.recording.replayer import events_of
 
-# The names under which other commands use these.
+# Names that the testbed commands import.
 DIFFERENT = ExitCode.DIFFERENT
 verify_records = verify_segments
 open_records = open_segments
@@ -21,7 +21,7 @@
 
 @click.group()
 def record() -> None:
-    """What a proxy was told and decided, as it recorded it."""
+    """Replay and query the inputs and decisions that proxies recorded."""
 
 
 record.add_command(replay)
@@ -30,17 +30,17 @@
 @record.command()
 @files_argument
 @click.argument("wanted")
-@click.option("--most", type=click.IntRange(1), default=50, help="RPCs shown.")
+@click.option("--most", type=click.IntRange(1), default=50, help="Maximum number of requests shown.")
 def query(files: tuple[str, ...], wanted: str, most: int) -> None:
-    """RPCs that match WANTED: id=, key=, cache=, tenant=, method=, from=, to= (s), joined by commas."""
+    """Show requests that match WANTED: id=, key=, cache=, tenant=, method=, from=, to= (s), with commas."""
     try:
         conditions = record_queries.parse_conditions(wanted)
     except ValueError as reason:
         raise RecordCommandError(str(reason)) from reason
-    found = open_segments(files)
-    began_ms = found[0].head["now"]
+    segments = open_segments(files)
+    began_ms = segments[0].head["now"]
     count = 0
-    for segment in found:
+    for segment in segments:
         stored_events = events_of(segment.frames())
         for trace in record_queries.matching_requests(stored_events, conditions, began_ms):
             count += 1
@@ -50,7 +50,7 @@
 
 
 def _request_line(trace: record_queries.RequestTrace, began_ms: float) -> str:
-    """A line on a request."""
+    """Returns a line that describes a request."""
     arrived_s = (trace.arrived_at_ms - began_ms) / 1000.0
     key = "-" if trace.key is None else f"{trace.key:016x}"
     steps = "; ".join(trace.steps) or "nothing"
@@ -62,14 +62,14 @@
 
 @record.command()
 @files_argument
-@click.option("--span", type=click.FloatRange(min=0.1), default=10.0, help="s a row.")
-@click.option("--chart", type=click.Path(dir_okay=False), help="A picture of it.")
+@click.option("--span", type=click.FloatRange(min=0.1), default=10.0, help="Duration of a row (s).")
+@click.option("--chart", type=click.Path(dir_okay=False), help="Image file for a chart of the table.")
 def table(files: tuple[str, ...], span: float, chart: str | None) -> None:
-    """An afternoon by spans: RPCs by answer, caches aside, limits."""
-    found = open_segments(files)
-    began_ms = found[0].head["now"]
+    """Show a row for each time span: requests by answer, ejected caches, limits."""
+    segments = open_segments(files)
+    began_ms = segments[0].head["now"]
     rows: list[dict[str, Any]] = []
-    for segment in found:
+    for segment in segments:
         try:
             replayer = segment.replayer(strict=False)
             rows += record_queries.table_rows(replayer, segment.frames(), began_ms, span)
@@ -84,7 +84,9 @@
         try:
             draw_chart(merged, chart)
         except ImportError as missing:
-            message = f"{missing.name} is missing: pip install 'calicofall[stage]'"
+            message = (
+                f"{missing.name}, which --chart requires, is not installed: pip install 'calicofall[stage]'"
+            )
             raise RecordCommandError(message) from missing
         click.echo(chart)
 
@@ -94,7 +96,7 @@
 
 
 def draw_chart(rows: list[dict[str, Any]], file: str) -> None:
-    """Draws a table: requests by answer above, ejected endpoints and limits below.
+    """Draws a table as a chart: requests by answer above, ejected endpoints and limits below.
 
     Raises:
         ImportError: matplotlib is not installed.
@@ -122,10 +124,10 @@
 @files_argument
 @click.argument("out", type=click.Path(dir_okay=False))
 def traffic(files: tuple[str, ...], out: str) -> None:
-    """What came, written to OUT for a drill (`traffic.record`)."""
-    found: list[record_queries.Arrival] = []
+    """Write the recorded arrivals of requests to OUT, as traffic for a scenario (`traffic.record`)."""
+    arrivals: list[record_queries.Arrival] = []
     for segment in open_segments(files):
-        found += record_queries.arrivals(segment.head, events_of(segment.frames()))
-    drawn = record_queries.scenario_traffic(found)
-    Path(out).write_bytes(orjson.dumps(drawn))
-    click.echo(f"{out}: {len(drawn)} RPCs in {drawn[-1][0] if drawn else 0.0:.1f} s")
+        arrivals += record_queries.arrivals(segment.head, events_of(segment.frames()))
+    traffic_rows = record_queries.scenario_traffic(arrivals)
+    Path(out).write_bytes(orjson.dumps(traffic_rows))
+    click.echo(f"{out}: {len(traffic_rows)} RPCs in {traffic_rows[-1][0] if traffic_rows else 0.0:.1f} s")
--- a/calicofall/cli/replay.py
+++ b/calicofall/cli/replay.py
@@ -1,4 +1,4 @@
-"""The command `replay`: plays records again, to this version, to other settings or to another version."""
+"""The command `replay`: replays records with this version, with other settings or with another version."""
 
 import subprocess
 import sys
@@ -14,11 +14,12 @@
 from calicofall.recording.replayer import Replayer, ReplayMismatchError
 
 SHOWN_EVENT_LENGTH = 160  # characters
-# Settings of the proxy itself, which other settings do not change.
+# Settings that belong to the recorded proxy and are kept when other settings are used.
 OWN_SETTINGS = ("proxies", "me", "zone", "bears")
 
-# Plays records to the router of another version, with this version's replayer: records are this program's to
-# read. The packages `recording` and `cli` are this version's, all others those of the version in PYTHONPATH.
+# Replays records on the router of another version, with this version's replayer, as this version's replayer
+# can read the records. The packages `recording` and `cli` are this version's, all others are those of the
+# version in PYTHONPATH.
 REPLAY_TO_OTHER_ROUTER = """
 import importlib.util, sys
 import calicofall
@@ -35,7 +36,7 @@
     sys.exit(f"Error: that version is too old: {missing}")
 replay_here(sys.argv[2:])
 """
-# Versions whose router is still `facade.py` have other names throughout: they play with their own replayer.
+# Versions whose router is in `facade.py` have different names throughout, so they use their own replayer.
 REPLAY_WITH_OWN_REPLAYER = """
 import sys
 try:
@@ -52,12 +53,12 @@
     "--with",
     "other",
     type=click.Path(exists=True),
-    help="Settings (a file) or a version of the program (a folder) to play the same news to.",
+    help="Other settings (a file) or another version of the program (a folder) for the replay.",
 )
 def replay(files: tuple[str, ...], other: str | None) -> None:
-    """Play records again, and hold each verdict against the recorded one.
+    """Replay records and compare each decision with the recorded one.
 
-    Exit: 0 the same, 1 different, 2 unreadable, 3 the same up to where the record is cut off.
+    Exit: 0 the same, 1 different, 2 unreadable, 3 the same up to where the record is truncated or damaged.
     """
     if other and Path(other).is_dir():
         sys.exit(replay_to_version(Path(other), files))
@@ -74,20 +75,20 @@
 
 
 def verify_segments(segments: Iterable[SegmentFile]) -> tuple[int, int]:
-    """Plays segments again, up to the first difference; what differs or is cut off is printed.
+    """Replays segments up to the first difference, and prints differences and damage.
 
     Returns:
-        How many decisions were played, and the exit code.
+        The number of decisions replayed, and the exit code.
 
     Raises:
-        RecordCommandError: A record makes no sense.
+        RecordCommandError: An event or state cannot be replayed.
     """
     count = 0
     code = ExitCode.SAME
     for segment in segments:
         replayer = segment.replayer()
         try:
-            replayer.play(segment.frames())
+            replayer.replay(segment.frames())
         except ReplayMismatchError as mismatch:
             show_mismatch(segment, mismatch)
             return count + replayer.decision_count, ExitCode.DIFFERENT
@@ -101,7 +102,7 @@
 
 
 def show_mismatch(segment: SegmentFile, mismatch: ReplayMismatchError) -> None:
-    """Prints a difference: the decision, the router then, and the events before it."""
+    """Prints a difference: the decision, key figures of the router, and the events before it."""
     began_ms = segment.head["now"]
     kind, at_ms = mismatch.event[:2]
     click.echo(f"{segment.path}: differs at {(at_ms - began_ms) / 1000.0:.3f} s: {kind}")
@@ -114,14 +115,14 @@
         click.echo(f"    {(at_ms - began_ms) / 1000.0:.3f} {kind} {shown}")
 
 
-# To other settings
+# With other settings
 
 
 def read_settings(path: Path) -> dict[str, Any]:
-    """Reads settings from an operators' file or a settings document.
+    """Reads settings from a proxy's configuration file, a settings document, or a file of settings alone.
 
     Raises:
-        RecordCommandError: The file cannot be read, or the settings are wrong.
+        RecordCommandError: The file cannot be read, or the settings are invalid.
     """
     try:
         content = orjson.loads(path.read_bytes())
@@ -136,26 +137,26 @@
 
 
 def replay_to_settings(segment: SegmentFile, settings: dict[str, Any]) -> int:
-    """Plays a segment to other settings, and prints what differs.
+    """Replays a segment with other settings, and prints the differences.
 
-    Settings that were applied in the meantime are left out.
+    Settings that were applied during the recording are skipped.
 
     Returns:
-        How many decisions were played.
+        The number of decisions replayed.
 
     Raises:
-        RecordCommandError: The record has pseudonyms, or makes no sense.
+        RecordCommandError: The record has pseudonyms, or an event or state cannot be replayed.
     """
     if segment.head["veiled"]:
-        reason = "keys are told by other names: it plays to its own settings alone"
+        reason = "the record has pseudonyms, so it can be replayed only with its own settings"
         raise RecordCommandError(f"{segment.path}: {reason}")
     recorded = segment.head["deployment"]
-    whole = settings | {name: recorded.get(name) for name in OWN_SETTINGS}
-    replayer = segment.replayer(whole, strict=False)
+    merged = settings | {name: recorded.get(name) for name in OWN_SETTINGS}
+    replayer = segment.replayer(merged, strict=False)
     if segment.head["state"] is not None:
-        replayer.router.apply_settings(segment.head["now"], whole)
+        replayer.router.apply_settings(segment.head["now"], merged)
     try:
-        replayer.play([event for event in frame if event[0] != "apply"] for frame in segment.frames())
+        replayer.replay([event for event in frame if event[0] != "apply"] for frame in segment.frames())
     except MALFORMED as reason:
         raise segment.malformed_event(replayer, reason) from reason
     show_differences(segment.path, replayer)
@@ -163,17 +164,17 @@
 
 
 def show_differences(path: Path, replayer: Replayer) -> None:
-    """Prints how many decisions differ, and how."""
+    """Prints the number of decisions that differ, in total and by kind of difference."""
     click.echo(f"{path}: {replayer.decision_count} verdicts, {replayer.differences.total()} elsewhere")
-    for what, count in replayer.differences.most_common():
-        click.echo(f"  {count:8} {what}")
+    for difference, count in replayer.differences.most_common():
+        click.echo(f"  {count:8} {difference}")
 
 
-# To another version
+# With another version
 
 
 def replay_to_version(folder: Path, names: Iterable[str]) -> int:
-    """Plays records to another version of the program, in a process of its own.
+    """Replays records with another version of the program, in a separate process.
 
     Args:
         folder: A checkout of that version.
@@ -183,7 +184,7 @@
         The exit code of the process.
 
     Raises:
-        RecordCommandError: The folder holds no version, or there are no records.
+        RecordCommandError: The folder is not a checkout of the program, or there are no records.
     """
     package = folder / "calicofall"
     if (package / "facade.py").exists():
@@ -191,7 +192,9 @@
     elif (package / "routing").is_dir():
         script = REPLAY_TO_OTHER_ROUTER
     else:
-        raise RecordCommandError(f"{folder}: no version of calicofall")
+        raise RecordCommandError(
+            f"{folder}: expected a checkout of calicofall, found no package `calicofall` with a router"
+        )
     paths = [str(segment.path.resolve()) for segment in open_segments(names)]
     this_package = str(Path(__file__).parent.parent.resolve())
     environment = {"PYTHONPATH": str(folder.resolve()), "PATH": ""}
@@ -200,15 +203,15 @@
 
 
 def replay_here(names: list[str]) -> None:
-    """Plays records to the router that is imported here, and prints what differs, by segment."""
+    """Replays records with the imported router, and prints the differences by segment."""
     try:
         for segment in open_segments(names):
             replayer = segment.replayer(strict=False)
             try:
-                replayer.play(segment.frames())
+                replayer.replay(segment.frames())
             except MALFORMED as reason:
-                where = f"{segment.path}: event {replayer.event_count}"
-                raise RecordCommandError(f"{where}: {reason!r}") from reason
+                position = f"{segment.path}: event {replayer.event_count}"
+                raise RecordCommandError(f"{position}: {reason!r}") from reason
             show_differences(segment.path, replayer)
     except RecordCommandError as error:
         error.show()
--- a/calicofall/cli/testbed.py
+++ b/calicofall/cli/testbed.py
@@ -1,10 +1,10 @@
 """Commands of the testbed: run, list, walk, account, report.
 
-The testbed's requirements are an extra that a proxy does without, so its modules are imported by the commands
-that use them.
+The testbed's requirements are an optional extra that a proxy does not need, so the testbed's modules are
+imported only by the commands that use them.
 
 Invariants:
-    Nothing is started for an invalid scenario, and no process is left behind.
+    An invalid scenario starts no processes, and all started processes are ended.
 """
 
 import sys
@@ -17,7 +17,7 @@
 
 import click
 
-# Exit codes.
+# Exit codes of the commands.
 EXIT_PASSED = 0
 EXIT_FAILED = 1
 EXIT_INVALID = 2
@@ -25,14 +25,14 @@
 
 
 class TestbedCommandError(click.ClickException):
-    """Ends a command with a message and the exit code of a wrong call."""
+    """Ends a command with one line on standard error and the exit code of an invalid call."""
 
     exit_code = EXIT_INVALID
 
 
 @dataclass(frozen=True, slots=True)
 class Testbed:
-    """The parts of the testbed that need its extra requirements."""
+    """The modules and functions of the testbed that need its extra requirements."""
 
     scenario: ModuleType
     report: ModuleType
@@ -43,23 +43,25 @@
     """Import the testbed.
 
     Raises:
-        Stop: A requirement is not installed.
+        TestbedCommandError: A requirement is not installed.
     """
     try:
         from calicofall.testbed import report, runner, scenario
     except ImportError as missing:
-        raise TestbedCommandError(f"{missing.name} is missing: pip install 'calicofall[stage]'") from missing
+        raise TestbedCommandError(
+            f"the testbed requires the package {missing.name}: pip install 'calicofall[stage]'"
+        ) from missing
     return Testbed(scenario, report, runner.run_scenario)
 
 
 @click.group()
 def stage() -> None:
-    """Many processes of the program with faults between them, and a referee."""
+    """Run scenarios with many processes and injected faults, and check the results."""
 
 
 @stage.command(name="list")
 def list_scenarios() -> None:
-    """The drills that ship."""
+    """List the scenarios that are included."""
     scenario = load_testbed().scenario
     for name in scenario.shipped_scenarios():
         click.echo(f"{name:24} {scenario.load_scenario(name).about}")
@@ -67,17 +69,23 @@
 
 @stage.command()
 @click.argument("file")
-@click.option("--proxies", type=click.IntRange(1, 1000), help="Another number of proxies.")
-@click.option("--seed", type=int, help="Another seed.")
-@click.option("--out", type=click.Path(file_okay=False), help="Where logs and the result go.")
+@click.option("--proxies", type=click.IntRange(1, 1000), help="Number of proxies, instead of the scenario's.")
+@click.option("--seed", type=int, help="Seed, instead of the scenario's.")
+@click.option("--out", type=click.Path(file_okay=False), help="Folder for the logs and the result.")
 @click.option(
     "--program",
     type=click.Path(exists=True, file_okay=False),
-    help="The root of another version whose proxies are played.",
+    help="Root folder of another version whose proxies are run.",
+)
+@click.option(
+    "--untold",
+    is_flag=True,
+    help="Proxies are not configured with the capacities of the service and the caches.",
+)
+@click.option("--apart", is_flag=True, help="Proxies lend no quotas to each other and exchange no evidence.")
+@click.option(
+    "--account", is_flag=True, help="Break down the loss by cause, from the proxies' logs at DEBUG."
 )
-@click.option("--untold", is_flag=True, help="Proxies are not told the rooms of service and caches.")
-@click.option("--apart", is_flag=True, help="Proxies neither lend nor tell each other what they saw.")
-@click.option("--account", is_flag=True, help="Where the loss went, by the proxies' logs at DEBUG.")
 @click.option("--quiet", is_flag=True)
 def run(  # noqa: PLR0913 - a parameter for each option
     file: str,
@@ -90,7 +98,7 @@
     account: bool,
     quiet: bool,
 ) -> None:
-    """Play a drill from FILE, or a ready one by its name. Exit: 0 passed, 1 broken, 2 wrong drill, 3 void."""
+    """Run a scenario from FILE, or an included one by name. Exit: 0 passed, 1 failed, 2 invalid, 3 void."""
     testbed = load_testbed()
     fleet: dict[str, Any] = {}
     if proxies is not None:
@@ -110,7 +118,7 @@
             told=lambda line: None if quiet else click.echo(line, err=True),
         )
     except KeyboardInterrupt:
-        raise TestbedCommandError("stopped: all that was started has ended") from None
+        raise TestbedCommandError("interrupted: all started processes have ended") from None
     testbed.report.keep(folder, scenario, verdict, history)
     testbed.report.table(testbed.report.load([str(folder)]))
     click.echo(f"{scenario.name}: {verdict.word}; {folder}")
@@ -120,10 +128,10 @@
 
 
 def load_changed_scenario(scenarios: ModuleType, file: str, fleet: dict[str, Any], seed: int | None) -> Any:
-    """Load a scenario, with other fields of its fleet and, where it is given, another seed.
+    """Load a scenario and replace fields of its fleet and, if a seed is given, its seed.
 
     Raises:
-        Stop: The scenario is invalid, as it stands or with the changes.
+        TestbedCommandError: The scenario is invalid, before or after the changes.
     """
     try:
         data = scenarios.load_scenario(file).model_dump(exclude_none=True)
@@ -136,19 +144,19 @@
 
 
 @stage.command()
-@click.option("--seed", type=int, default=1, help="The first of the seeds.")
+@click.option("--seed", type=int, default=1, help="First seed.")
 @click.option("--count", type=click.IntRange(1, 10_000), default=5)
-@click.option("--versions", is_flag=True, help="Drills in which settings are published through faults.")
-@click.option("--record", is_flag=True, help="Proxies record; each record is played again.")
-@click.option("--out", type=click.Path(file_okay=False), help="Where logs and results go.")
+@click.option("--versions", is_flag=True, help="Scenarios in which settings are published during faults.")
+@click.option("--record", is_flag=True, help="Proxies record, and each record is replayed.")
+@click.option("--out", type=click.Path(file_okay=False), help="Folder for the logs and results.")
 def walk(seed: int, count: int, versions: bool, record: bool, out: str | None) -> None:
-    """Play drills drawn from seeds; the first that fails is shrunk to the shortest that still does."""
+    """Run scenarios generated from seeds; the first that fails is reduced to a minimal failing one."""
     randomized = RandomizedRun(load_testbed(), Path(out or tempfile.mkdtemp(prefix="stage-walk-")), record)
     try:
         for number in range(seed, seed + count):
             randomized.run(number, versions)
     except KeyboardInterrupt:
-        raise TestbedCommandError("stopped: all that was started has ended") from None
+        raise TestbedCommandError("interrupted: all started processes have ended") from None
     if versions:
         click.echo(
             f"{count - randomized.void} drills, {randomized.void} void, {randomized.orders} sends judged: "
@@ -162,17 +170,17 @@
 
 @dataclass(slots=True)
 class RandomizedRun:
-    """Runs randomized scenarios one after the other, and sums up what was judged.
+    """Runs randomized scenarios one after the other and sums up their results.
 
     Attributes:
-        testbed: What runs and reports them.
-        folder: Where logs and results go.
+        testbed: Functions that run and report scenarios.
+        folder: Folder for the logs and results.
         record: Whether proxies record; each record is then replayed.
-        void: Scenarios of which nothing can be told.
-        replayed: Decisions that were replayed.
-        orders: Sends judged against the published versions.
-        longest_s: The longest time after a majority had a version in which a send that it forbids was seen.
-        bound_s: What the scenario allows for that.
+        void: Number of scenarios without a valid result.
+        replayed: Number of decisions that were replayed.
+        orders: Number of sends that were checked against the published versions.
+        longest_s: Longest time from when a majority held a version until a send that it forbids was seen (s).
+        bound_s: Limit of that time in the scenario (s).
     """
 
     testbed: Testbed
@@ -185,7 +193,7 @@
     bound_s: float = 0.0
 
     def run(self, seed: int, versions: bool) -> None:
-        """Run the scenario of a seed; the process exits with BROKEN after a failure is shrunk."""
+        """Run the scenario of a seed; after a failure, reduce it and exit with EXIT_FAILED."""
         from calicofall.testbed import randomized_scenarios
 
         if versions:
@@ -212,7 +220,7 @@
             sys.exit(EXIT_FAILED)
 
     def _shrink(self, scenario: Any, rules: set[str]) -> None:
-        """Write the shortest scenario that still breaks one of the rules."""
+        """Write a minimal scenario that still violates one of the rules."""
         from calicofall.testbed import randomized_scenarios
 
         def still_fails(candidate: Any) -> bool:
@@ -226,7 +234,7 @@
 
 
 def replay_records(folder: Path) -> int:
-    """Replay all records of a scenario and return the number of decisions; exits where one differs."""
+    """Replay all records of a scenario and return the number of decisions; exit if one differs."""
     from calicofall.cli.record import DIFFERENT, open_records, verify_records
 
     count = 0
@@ -241,15 +249,19 @@
 
 @stage.command(name="account")
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
-@click.option("--span", type=click.FloatRange(min=0.1), help="By time too, a row so many s.")
+@click.option(
+    "--span", type=click.FloatRange(min=0.1), help="Also show a row for each time span of this duration (s)."
+)
 def account_for_loss(folder: str, span: float | None) -> None:
-    """What proxies answered, by cause, from a FOLDER of their logs at DEBUG alone."""
+    """Break down the answers of proxies by cause, from a FOLDER of their logs at DEBUG."""
     from calicofall.testbed import loss_breakdown
 
     logs = loss_breakdown.read_logs(Path(folder))
     summary = loss_breakdown.summarize_answers(logs)
     if not summary["answers"]:
-        raise TestbedCommandError(f"{folder}: no line of an RPC: serve --log-level DEBUG writes them")
+        raise TestbedCommandError(
+            f"{folder}: expected log lines of requests, found none: serve --log-level DEBUG writes them"
+        )
     print_answers(summary)
     if span:
         for period in loss_breakdown.answers_by_period(logs, span):
@@ -283,9 +295,11 @@
 
 @stage.command(name="report")
 @click.argument("results", nargs=-1, required=True)
-@click.option("--chart", type=click.Path(dir_okay=False), help="A picture of what was seen by second.")
+@click.option(
+    "--chart", type=click.Path(dir_okay=False), help="Image file for a chart of the results by second."
+)
 def show_results(results: tuple[str, ...], chart: str | None) -> None:
-    """Results side by side, from files or folders."""
+    """Show results side by side, from files or folders."""
     report = load_testbed().report
     try:
         loaded = report.load(list(results))
--- a/calicofall/recording/events.py
+++ b/calicofall/recording/events.py
@@ -1,16 +1,17 @@
-"""The events of a record, as types.
+"""The event types of a record.
 
-In a record, an event is a JSON list: the word of its kind, then the fields of its type in their order. The
-words and the order of the fields are part of the format; the names of types and fields are free.
+A record stores an event as a JSON list: the name of its kind, then the fields of its type in the order in
+which they are declared. The names of the kinds and the order of the fields are part of the format. The names
+of the types and fields are not stored and can change.
 
-`at_ms` is the moment at which the router was called, on its own clock; 0 where the call has none.
+`at_ms` is the time of the call on the router's clock (ms); it is 0 for calls that have no time.
 """
 
 from typing import Any, NamedTuple
 
 
 class EndpointListReceived(NamedTuple):
-    """The discovery service told an endpoint list, a change of it, or that it failed."""
+    """The discovery service sent an endpoint list or a change of it, or the watch of the list failed."""
 
     at_ms: float
     kind: str
@@ -19,7 +20,7 @@
 
 
 class GossipReceived(NamedTuple):
-    """Another proxy's message came."""
+    """A gossip message from another proxy was received."""
 
     at_ms: float
     sender: int
@@ -27,7 +28,7 @@
 
 
 class RequestReceived(NamedTuple):
-    """A request was taken in hand; comes before its first `RequestRouted`."""
+    """A request became active; precedes its first `RequestRouted`."""
 
     at_ms: float
     request_id: str
@@ -42,7 +43,7 @@
 
 
 class RecordedDecision(NamedTuple):
-    """What the router decided on a request."""
+    """A decision of the router on a request."""
 
     endpoint: str | None
     answer: str | None
@@ -50,12 +51,12 @@
     timeout_ms: float
 
     def outcome(self) -> str:
-        """In a word: sent, waiting, or the answer."""
+        """Returns `send`, `wait`, or the answer."""
         return "send" if self.endpoint is not None else self.answer or "wait"
 
 
 class RequestRouted(NamedTuple):
-    """The router was asked where to send a request; `slot_times` are the rate slots that it looked at."""
+    """The router decided where to send a request; `slot_times` are the rate slots that it looked up."""
 
     at_ms: float
     request_id: str
@@ -68,12 +69,12 @@
 
     @property
     def decision(self) -> RecordedDecision:
-        """Its answer."""
+        """The decision on the request."""
         return RecordedDecision(self.endpoint, self.answer, self.retry_after_ms, self.timeout_ms)
 
 
 class AttemptReported(NamedTuple):
-    """The router was told what became of an attempt."""
+    """The outcome of an attempt was reported to the router."""
 
     at_ms: float
     request_id: str
@@ -92,12 +93,12 @@
 
     @property
     def decision(self) -> RecordedDecision:
-        """What the router decided next."""
+        """The next decision on the request."""
         return RecordedDecision(self.endpoint, self.answer, self.retry_after_ms, self.timeout_ms)
 
 
 class ResponseStarted(NamedTuple):
-    """The answer of an attempt began to be passed on."""
+    """The proxy started to pass the response of an attempt to the client."""
 
     at_ms: float
     request_id: str
@@ -105,7 +106,7 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """A client left; the attempts that were called off for it."""
+    """A client disconnected, and attempts of its request were cancelled."""
 
     at_ms: float
     request_id: str
@@ -113,7 +114,7 @@
 
 
 class WaitEnded(NamedTuple):
-    """The router was asked for a request whose wait had ended, and named this one."""
+    """The router returned this request as one whose wait had ended."""
 
     at_ms: float
     request_id: str
@@ -122,8 +123,8 @@
 class Ticked(NamedTuple):
     """The router's tick after a batch of calls.
 
-    `wait_ms` is None where it waits for nothing; `waits_drained` tells that all waits that had ended by then
-    were taken before.
+    `wait_ms` is the time until the next tick, or None if no timer is pending. `waits_drained` is True if all
+    requests whose wait had ended were taken before this tick.
     """
 
     at_ms: float
@@ -134,28 +135,28 @@
 
 
 class ProcessCountSet(NamedTuple):
-    """The number of processes of this proxy was told."""
+    """The number of processes of this proxy was set."""
 
     at_ms: float
     process_count: int
 
 
 class LearnedStateRestored(NamedTuple):
-    """What a former incarnation had learned was put in."""
+    """State that a previous incarnation had learned was restored."""
 
     at_ms: float
     learned: dict[str, dict[str, float]]
 
 
 class SettingsApplied(NamedTuple):
-    """Other settings were applied while it ran."""
+    """New settings were applied while the router ran."""
 
     at_ms: float
     settings: dict[str, Any]
 
 
 class QuotaSharesSet(NamedTuple):
-    """This proxy's shares of the tenants' quotas, and of what an endpoint bears, were told."""
+    """This proxy's shares of the tenants' quotas and of an endpoint's request rate were set."""
 
     at_ms: float
     quotas: dict[str, float]
@@ -163,7 +164,7 @@
 
 
 class EndpointReinstated(NamedTuple):
-    """The proxies agreed that an endpoint is no outlier."""
+    """The proxies agreed that an endpoint is not an outlier."""
 
     at_ms: float
     endpoint: str
@@ -177,7 +178,7 @@
 
 
 class KeyRanked(NamedTuple):
-    """The endpoints of a key, in their order; recorded where keys have pseudonyms, which hash elsewhere."""
+    """The ranked endpoints of a key; recorded only with pseudonyms, whose hashes give other rankings."""
 
     at_ms: float
     key: int | None
@@ -186,7 +187,7 @@
 
 
 class ProxyNote(NamedTuple):
-    """Something of the proxy's own, recorded at the level `proxy`; it is not replayed."""
+    """An event of the proxy outside its router, recorded at the level `proxy`; it is not replayed."""
 
     at_ms: float
     name: str
@@ -236,23 +237,23 @@
 
 
 def encode_event(event: Event) -> list[Any]:
-    """The event as a record holds it."""
+    """Returns the form in which a record stores an event."""
     return [STORED_KINDS[type(event)], *event]
 
 
 def decode_event(stored: list[Any]) -> Event:
-    """The event that a record holds.
+    """Decodes a stored event.
 
     Raises:
-        ValueError: Its kind is unknown, or it has other fields than events of its kind.
-        TypeError: It is no list.
+        ValueError: The kind is unknown, or the number of fields is not that of the kind.
+        TypeError: The stored event is not a list.
     """
     kind, *fields = stored
     event_type = EVENT_TYPES.get(kind)
     if event_type is None:
-        raise ValueError(f"an event of the kind {kind!r}")
+        raise ValueError(f"unknown event kind {kind!r}, expected one of {', '.join(EVENT_TYPES)}")
     expected = len(event_type._fields)
     if len(fields) != expected:
-        raise ValueError(f"an event of the kind {kind!r} with {len(fields)} fields, expected {expected}")
+        raise ValueError(f"event of kind {kind!r} has {len(fields)} fields, expected {expected}")
     event: Event = event_type(*fields)
     return event
--- a/calicofall/recording/frames.py
+++ b/calicofall/recording/frames.py
@@ -1,15 +1,14 @@
 """The byte format of a record: a line that names the format, then frames with a length and a checksum.
 
     file    MAGIC VERSION line feed, frame, frame, ...
-    frame   length of the body (4 bytes), CRC-32 of length and body (4 bytes), body: zlib of a JSON array
+    frame   length of the body (4 bytes), CRC-32 of length and body (4 bytes), body: zlib-compressed JSON
 
-The first frame is the head, a JSON object; every other one is a list of events, each [kind, moment (ms),
-...]. A frame is decodable without the others, so a process that dies loses only the frame it was about to
-write.
+The first frame is the head, a JSON object. Every other frame is a JSON array of events, each of the form
+[kind, time (ms), ...]. Each frame can be decoded without the others, so a process that crashes loses only the
+frame that it was writing.
 
-Invariants: whatever the bytes are, decoding raises no other errors than `RecordFormatError`s and yields
-nothing that does not match its checksum; a record that is cut off or damaged is readable up to the frame
-before.
+Invariants: decoding arbitrary bytes raises no errors other than `RecordFormatError` and yields nothing that
+does not match its checksum; a truncated or damaged record is readable up to the last intact frame.
 """
 
 import zlib
@@ -20,72 +19,72 @@
 
 MAGIC = b"calicofall-record "
 VERSION = 1
-MAX_FRAME_BYTES = 64 << 20  # unpacked
-FRAME_HEADER_BYTES = 8  # length and checksum
+MAX_FRAME_BYTES = 64 << 20  # after decompression
+FRAME_HEADER_BYTES = 8  # sum of LENGTH_BYTES and CHECKSUM_BYTES
 LENGTH_BYTES = 4
 CHECKSUM_BYTES = 4
-FIRST_LINE_BYTES = 64  # in which the first line has to end
+FIRST_LINE_BYTES = 64  # maximum length of the first line
 
 
 class RecordFormatError(Exception):
-    """A file is not a whole record."""
+    """A file is not a complete record."""
 
 
 class UnreadableRecordError(RecordFormatError):
-    """A file is no record, or has no head; the message says why."""
+    """A file is not a record, or its head cannot be read; the message gives the reason."""
 
 
 class TruncatedRecordError(RecordFormatError):
-    """A record ends too soon; the message says where and why."""
+    """A record is truncated or damaged; the message gives the position and the reason."""
 
 
 def file_header() -> bytes:
-    """The first line of a record file."""
+    """Returns the first line of a record file."""
     return MAGIC + b"%d\n" % VERSION
 
 
 def encode_json(value: Any) -> bytes:
-    """The JSON text that a frame holds, not packed yet.
+    """Encodes the content of a frame as JSON text, not yet compressed.
 
     Raises:
-        TypeError: The value has no form in JSON, such as an integer of more than 64 bits.
+        TypeError: The value cannot be represented in JSON, such as an integer of more than 64 bits.
     """
     return orjson.dumps(value, option=orjson.OPT_NON_STR_KEYS)
 
 
 def encode_frame(content: bytes) -> bytes:
-    """Packs JSON text to a frame. Compressing takes long enough to keep it off the event loop."""
+    """Compresses JSON text into a frame. Compression is too slow to run on the event loop."""
     body = zlib.compress(content, 1)
     length = len(body).to_bytes(LENGTH_BYTES)
     return length + _checksum(length, body) + body
 
 
 def open_record(data: bytes) -> tuple[dict[str, Any], Iterator[list[Any]]]:
-    """Reads the head of a record; the frames of events follow one by one.
+    """Reads the head of a record; the event frames are decoded lazily.
 
     Returns:
-        The head, and an iterator over the frames' events; the iterator raises TruncatedRecordError where the
-        record ends too soon.
+        The head, and an iterator over the event lists of the frames. The iterator raises TruncatedRecordError
+        where the record is truncated or damaged.
 
     Raises:
-        UnreadableRecordError: It is no record, or one of another version, or its head is damaged.
+        UnreadableRecordError: The data is not a record, has another format version, or its head is damaged.
     """
     if not data:
-        raise UnreadableRecordError("empty")
+        raise UnreadableRecordError("the file is empty")
     line, line_feed, _ = data[:FIRST_LINE_BYTES].partition(b"\n")
     if not line.startswith(MAGIC) or not line_feed:
-        raise UnreadableRecordError("not a record of calicofall")
+        raise UnreadableRecordError(f"not a record: the first line does not start with {MAGIC.decode()!r}")
     version = line[len(MAGIC) :]
     if not version.isdigit() or int(version) != VERSION:
         found = version.decode("ascii", "replace")
-        raise UnreadableRecordError(f"form {found}, this program reads {VERSION}")
+        raise UnreadableRecordError(f"record format version is {found!r}, expected {VERSION}")
     contents = _frame_contents(data, len(line) + 1)
     try:
         head = next(contents, None)
     except TruncatedRecordError as reason:
         raise UnreadableRecordError(f"no head: {reason}") from reason
     if not isinstance(head, dict):
-        raise UnreadableRecordError("no head")
+        raise UnreadableRecordError("no head: expected a JSON object in the first frame")
     return head, contents
 
 
@@ -94,7 +93,7 @@
 
 
 def _frame_contents(data: bytes, start: int) -> Iterator[Any]:
-    """The unpacked contents of the frames from a position on."""
+    """Yields the decoded contents of the frames from a byte position on."""
     at = start
     while at < len(data):
         body_at = at + FRAME_HEADER_BYTES
@@ -116,5 +115,9 @@
         if unpacker.eof:
             return orjson.loads(content)
     except (zlib.error, ValueError) as reason:
-        raise TruncatedRecordError(f"a frame at byte {at} is none") from reason
-    raise TruncatedRecordError(f"a frame at byte {at} is none")
+        raise TruncatedRecordError(
+            f"frame at byte {at}: expected zlib-compressed JSON of at most {MAX_FRAME_BYTES} bytes"
+        ) from reason
+    raise TruncatedRecordError(
+        f"frame at byte {at}: expected zlib-compressed JSON of at most {MAX_FRAME_BYTES} bytes"
+    )
--- a/calicofall/recording/pseudonymizer.py
+++ b/calicofall/recording/pseudonymizer.py
@@ -1,8 +1,8 @@
 """Pseudonyms for the keys and tenants in a record.
 
-With an operator's secret, a record holds keyed hashes (BLAKE2b) in place of keys and tenants' names: the same
-pseudonym for the same key, so that a record can be replayed and queried, but nobody without the secret can
-tell which key it stands for.
+If the operator sets a secret, a record holds keyed hashes (BLAKE2b) in place of keys and tenant names. A key
+always has the same pseudonym, so that a record can be replayed and queried, but the key cannot be determined
+from its pseudonym without the secret.
 """
 
 from collections.abc import Mapping
@@ -13,17 +13,17 @@
 
 
 class Naming(Protocol):
-    """How keys and tenants are named in a record."""
+    """Maps keys and tenants to their names in a record."""
 
     def key(self, key: int | None) -> int | None:
-        """The name of a key in the record; None where a request has no key."""
+        """Returns the name of a key in the record; None if a request has no key."""
 
     def tenant(self, name: str) -> str:
-        """The name of a tenant in the record."""
+        """Returns the name of a tenant in the record."""
 
 
 class Pseudonymizer:
-    """Names keys and tenants by hashes under one secret."""
+    """Maps keys and tenants to hashes that are keyed with a secret."""
 
     def __init__(self, secret: bytes) -> None:
         self._secret = secret
@@ -32,29 +32,29 @@
         return blake2b(data, key=self._secret, digest_size=PSEUDONYM_BYTES).digest()
 
     def key(self, key: int | None) -> int | None:
-        """The pseudonym of a key; None where a request has no key."""
+        """Returns the pseudonym of a key; None if a request has no key."""
         return None if key is None else int.from_bytes(self._hash(b"k%d" % key))
 
     def tenant(self, name: str) -> str:
-        """The pseudonym of a tenant."""
+        """Returns the pseudonym of a tenant."""
         return "t" + self._hash(b"t" + name.encode()).hex()
 
 
 class NoPseudonyms:
-    """Names keys and tenants as they are."""
+    """Keeps keys and tenant names unchanged."""
 
     @staticmethod
     def key(key: int | None) -> int | None:
-        """The key itself."""
+        """Returns the key itself."""
         return key
 
     @staticmethod
     def tenant(name: str) -> str:
-        """The tenant's own name."""
+        """Returns the tenant name itself."""
         return name
 
 
 def pseudonymized_settings(settings: Mapping[str, Any], naming: Naming) -> dict[str, Any]:
-    """The settings as they are written to a record: tenants under the names of `naming`."""
+    """Returns the settings in the form written to a record, with tenants renamed by `naming`."""
     tenants = [tenant | {"name": naming.tenant(tenant["name"])} for tenant in settings.get("tenants") or []]
     return {**settings, "tenants": tenants}
--- a/calicofall/recording/record_queries.py
+++ b/calicofall/recording/record_queries.py
@@ -1,6 +1,6 @@
-"""Queries over a record: requests that match, a table by time, the traffic for a scenario.
+"""Queries over a record: matching requests, a table by time, and the traffic for a scenario.
 
-Invariants: nothing is decided here, and nothing is shown that the record does not hold.
+Invariants: the queries make no decisions, and show only data that the record holds.
 """
 
 from collections import Counter
@@ -23,10 +23,10 @@
 
 CONDITIONS = ("id", "key", "cache", "tenant", "method", "from", "to")
 COUNTED_COLUMNS = ("taken", "completed", "exhausted", "errored", "set_aside")
-EJECTION_LINE = "set aside"  # how a line of the router's log on an ejected endpoint begins
-# By what the settings tell of a method's repeats, the method of the testbed that stands for it.
+EJECTION_LINE = "set aside"  # prefix of the router's log lines on ejected endpoints
+# The testbed's method that represents a recorded method, by the setting `repeats` of the recorded method.
 TESTBED_METHODS = {"retriable": "read", "deduped": "save", "non-retriable": "order"}
-MAIN_TENANT, OTHER_TENANT = "shop", "bulk"  # of the testbed
+MAIN_TENANT, OTHER_TENANT = "shop", "bulk"  # tenants of the testbed
 CLIENT_LEFT = "left"
 
 StoredEvents = Iterable[list[Any]]
@@ -36,17 +36,17 @@
 
 @dataclass(slots=True)
 class RequestTrace:
-    """A request as a record has it.
+    """The course of a request according to a record.
 
     Attributes:
-        id: Its id.
-        method: Its method; with a suffix, where it was taken under earlier settings.
-        tenant: Its tenant, if any.
-        key: Its key, if any.
-        arrived_at_ms: When it arrived.
-        steps: What happened to it, in words.
-        endpoints: All endpoints that it was sent to.
-        answer: How it ended; None where the record ends first.
+        id: Request id.
+        method: Method, with a suffix if the request was received under earlier settings.
+        tenant: Tenant, if any.
+        key: Key, if any.
+        arrived_at_ms: Arrival time on the router's clock (ms).
+        steps: Descriptions of the events of the request, each after its time since the arrival (ms).
+        endpoints: All endpoints that the request was sent to.
+        answer: Outcome of the request; None if the record ends first.
     """
 
     id: str
@@ -59,12 +59,12 @@
     answer: str | None = None
 
     def add_step(self, at_ms: float, description: str) -> None:
-        """Adds what happened at a moment."""
+        """Adds the description of an event at a time on the router's clock."""
         self.steps.append(f"{at_ms - self.arrived_at_ms:.1f} {description}")
 
 
 def _request_events(stored_events: StoredEvents) -> Iterator[RequestEvent]:
-    """The events that tell how requests went."""
+    """Yields the events that describe the course of requests."""
     for stored in stored_events:
         if stored[0] in REQUEST_EVENT_KINDS:
             event = decode_event(stored)
@@ -73,7 +73,7 @@
 
 
 def request_traces(stored_events: StoredEvents) -> Iterator[RequestTrace]:
-    """All requests that arrived in some events, in the order of their ends."""
+    """Yields all requests that arrived in these events, in the order of their ends; unfinished ones last."""
     unfinished: dict[str, RequestTrace] = {}
     for event in _request_events(stored_events):
         if isinstance(event, RequestReceived):
@@ -83,7 +83,7 @@
             continue
         trace = unfinished.get(event.request_id)
         if trace is None:
-            continue  # it arrived before these events
+            continue  # the request arrived before these events
         _add_steps(trace, event)
         if trace.answer is not None:
             yield unfinished.pop(event.request_id)
@@ -91,7 +91,7 @@
 
 
 def _add_steps(trace: RequestTrace, event: RequestRouted | AttemptReported | ClientDisconnected) -> None:
-    """Adds what an event tells of a request."""
+    """Adds the steps that an event describes to the trace of its request."""
     if isinstance(event, ClientDisconnected):
         trace.add_step(event.at_ms, "client left")
         trace.answer = CLIENT_LEFT
@@ -108,16 +108,18 @@
 
 
 def parse_conditions(text: str) -> dict[str, str]:
-    """Conditions on requests, such as `key=1f,cache=c3`.
+    """Parses conditions on requests, such as `key=1f,cache=c3`.
 
     Raises:
-        ValueError: A condition is unknown, or its value is of the wrong form.
+        ValueError: The name of a condition is unknown, or its value is malformed.
     """
     conditions = {}
-    for part in text.split(","):
-        name, equals, value = part.partition("=")
+    for condition in text.split(","):
+        name, equals, value = condition.partition("=")
         if not equals or name not in CONDITIONS:
-            raise ValueError(f"{part!r}: NAME=VALUE, with one of {', '.join(CONDITIONS)}")
+            raise ValueError(
+                f"condition {condition!r}: expected NAME=VALUE with NAME one of {', '.join(CONDITIONS)}"
+            )
         if name in ("from", "to"):
             float(value)
         if name == "key":
@@ -129,7 +131,7 @@
 def matching_requests(
     stored_events: StoredEvents, conditions: Mapping[str, str], began_at_ms: float
 ) -> Iterator[RequestTrace]:
-    """Requests that match all conditions; "from" and "to" are in s after the record's beginning."""
+    """Yields the requests that match all conditions; "from" and "to" are seconds since the record began."""
     for trace in request_traces(stored_events):
         if _matches(trace, conditions, (trace.arrived_at_ms - began_at_ms) / 1000.0):
             yield trace
@@ -152,27 +154,27 @@
 def table_rows(
     replayer: Replayer, frames: Iterable[list[list[Any]]], began_at_ms: float, span_s: float
 ) -> Iterator[dict[str, Any]]:
-    """A row each `span_s`: requests by answer, ejected endpoints and limits; the latter by replay.
+    """Yields a row for each period of `span_s`: requests by answer, ejected endpoints, and limits.
 
-    Raises what the replay raises.
+    The limits and ejected endpoints are determined by replay. Raises the same errors as `Replayer.replay`.
     """
     counts: Counter[str] = Counter()
     row: int | None = None
     for frame in frames:
         for stored in frame:
             at_ms = stored[1]
-            # Some events have no moment of their own: they count where the one before does.
+            # Events without a time count towards the row of the preceding event.
             event_row = int((at_ms - began_at_ms) / span_s / 1000.0) if at_ms else row
             if row is not None and event_row is not None and event_row > row:
                 yield _table_row(replayer, counts, row * span_s, at_ms)
                 counts.clear()
             row = event_row
-            _count(counts, replayer.play_event(stored))
+            _count_event(counts, replayer.replay_event(stored))
     if row is not None:
         yield _table_row(replayer, counts, row * span_s, began_at_ms + (row + 1) * span_s * 1000.0)
 
 
-def _count(counts: Counter[str], event: Event) -> None:
+def _count_event(counts: Counter[str], event: Event) -> None:
     if isinstance(event, RequestReceived):
         counts["taken"] += 1
     elif isinstance(event, RequestRouted | AttemptReported):
@@ -195,14 +197,14 @@
 
 
 def merge_rows(rows: Iterable[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Rows of one span of time, of several segments, as one: counts add up, of the rest the last holds."""
+    """Merges rows of the same period from several segments: adds counts, keeps the last of other values."""
     merged: dict[float, dict[str, Any]] = {}
     for row in sorted(rows, key=lambda row: row["s"]):
-        before = merged.get(row["s"])
-        if before is None:
+        previous = merged.get(row["s"])
+        if previous is None:
             merged[row["s"]] = row
         else:
-            merged[row["s"]] = row | {name: before[name] + row[name] for name in COUNTED_COLUMNS}
+            merged[row["s"]] = row | {name: previous[name] + row[name] for name in COUNTED_COLUMNS}
     return list(merged.values())
 
 
@@ -210,7 +212,7 @@
 
 
 class Arrival(NamedTuple):
-    """A request as a scenario's traffic file has it, in the order of these fields."""
+    """An arrival of a request; the fields are in the order of a scenario's traffic file."""
 
     at_s: float
     method: str
@@ -219,24 +221,27 @@
 
 
 def arrivals(head: Mapping[str, Any], stored_events: StoredEvents) -> list[Arrival]:
-    """The requests that arrived. Clients' own retries are left out: a scenario's clients make them."""
+    """Returns the arrivals of requests, except client retries: a scenario's clients make their own."""
     repeats = {method["name"]: method["repeats"] for method in head["deployment"]["methods"]}
-    found = []
+    found_arrivals = []
     for event in _request_events(stored_events):
         if isinstance(event, RequestReceived) and not event.client_retry:
             name = event.method.partition(SETTINGS_VERSION_SEPARATOR)[0]
             method = TESTBED_METHODS[repeats.get(name, "retriable")]
-            found.append(
+            found_arrivals.append(
                 Arrival(event.arrived_at_ms / 1000.0, method, f"{event.key or 0:016x}", event.tenant)
             )
-    return found
+    return found_arrivals
+
 
+def scenario_traffic(found_arrivals: Iterable[Arrival]) -> list[list[Any]]:
+    """Converts arrivals to a scenario's traffic, with times relative to the first arrival (s).
 
-def scenario_traffic(found: Iterable[Arrival]) -> list[list[Any]]:
-    """Arrivals as a scenario takes them: from the first on; the tenant with most is the testbed's first."""
-    known = list(found)
-    most_common = Counter(arrival.tenant for arrival in known).most_common(1)
-    first_s = min((arrival.at_s for arrival in known), default=0.0)
+    The tenant with the most requests becomes the testbed's main tenant, all others its other tenant.
+    """
+    arrival_list = list(found_arrivals)
+    most_common = Counter(arrival.tenant for arrival in arrival_list).most_common(1)
+    first_s = min((arrival.at_s for arrival in arrival_list), default=0.0)
     return sorted(
         [
             round(arrival.at_s - first_s, 6),
@@ -244,5 +249,5 @@
             arrival.key,
             MAIN_TENANT if arrival.tenant == most_common[0][0] else OTHER_TENANT,
         ]
-        for arrival in known
+        for arrival in arrival_list
     )
--- a/calicofall/recording/record_settings.py
+++ b/calicofall/recording/record_settings.py
@@ -1,4 +1,4 @@
-"""The settings of recording: the object `record` of a proxy's configuration, checked and typed."""
+"""Settings of the recording: the object `record` of a proxy's configuration, validated and typed."""
 
 from dataclasses import dataclass, fields
 from enum import StrEnum
@@ -12,11 +12,11 @@
 
 
 class RecordSettingsError(ValueError):
-    """A setting of the record is wrong; the message says which, and what is expected."""
+    """A setting of the record is invalid; the message names it and gives the expected value."""
 
 
 class RecordLevel(StrEnum):
-    """What is recorded: the calls of the router alone, or notes of the proxy, too."""
+    """What is recorded: only the calls of the router, or also events of the proxy outside the router."""
 
     MODULE = "module"
     PROXY = "proxy"
@@ -24,17 +24,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordSettings:
-    """Settings of the record; a field's name in the configuration is its name here in camel case.
+    """Settings of the record; `CONFIGURATION_NAMES` maps the fields to their names in the configuration.
 
     Attributes:
-        folder: Where segments are written.
+        folder: Folder to which segments are written.
         level: What is recorded.
-        segment_s: A segment ends after so many seconds ...
-        segment_mb: ... or so many megabytes.
-        keep_minutes: Older segments are deleted.
-        keep_mb: The oldest segments are deleted beyond so many megabytes.
-        kb_per_s: Kilobytes a second that may be written on average.
-        secret: Of pseudonyms for keys and tenants; None where they are recorded as they are.
+        segment_s: Age at which a segment ends (s).
+        segment_mb: Size at which a segment ends (MB).
+        keep_minutes: Age beyond which segments are deleted (min).
+        keep_mb: Total size beyond which the oldest segments are deleted (MB).
+        kb_per_s: Maximum average write rate (kB/s).
+        secret: Secret for the pseudonyms of keys and tenants; None if these are recorded unchanged.
     """
 
     folder: str
@@ -48,26 +48,26 @@
 
     @property
     def segment_bytes(self) -> float:
-        """Bytes, before compression, after which a segment ends."""
+        """Size at which a segment ends, in bytes before compression."""
         return self.segment_mb * BYTES_PER_MB
 
     @property
     def keep_bytes(self) -> float:
-        """Bytes of all segments beyond which the oldest are deleted."""
+        """Total size of all segments beyond which the oldest are deleted (bytes)."""
         return self.keep_mb * BYTES_PER_MB
 
     @property
     def keep_s(self) -> float:
-        """The age at which segments are deleted (s)."""
+        """Age at which segments are deleted (s)."""
         return self.keep_minutes * 60.0
 
     @property
     def bytes_per_s(self) -> float:
-        """Bytes a second, before compression, that may be written on average."""
+        """Maximum average write rate, in bytes per second before compression."""
         return self.kb_per_s * BYTES_PER_KB
 
 
-# By field, its name in the configuration, in the order in which messages list them.
+# Names in the configuration by field, in the order in which error messages list them.
 CONFIGURATION_NAMES = {
     "folder": "folder",
     "level": "level",
@@ -85,30 +85,34 @@
     """Reads the object `record` of a proxy's configuration.
 
     Returns:
-        The settings; None where the proxy does not record.
+        The settings, or None if the proxy does not record.
 
     Raises:
-        RecordSettingsError: A setting is unknown or wrong.
+        RecordSettingsError: A setting is unknown or invalid.
     """
     record = node.get("record")
     if record is None:
         return None
     if not isinstance(record, dict):
-        raise RecordSettingsError(f"record has to be an object, found {record!r}")
+        raise RecordSettingsError(f"record: expected an object, found {record!r}")
     unknown = sorted(record.keys() - set(CONFIGURATION_NAMES.values()))
     if unknown:
         expected = ", ".join(CONFIGURATION_NAMES.values())
-        raise RecordSettingsError(f"record.{unknown[0]}: not one of {expected}")
-    defaults = {one.name: one.default for one in fields(RecordSettings)}
-    values = {name: record.get(known, defaults[name]) for name, known in CONFIGURATION_NAMES.items()}
+        raise RecordSettingsError(f"record.{unknown[0]}: unknown setting, expected one of {expected}")
+    defaults = {field.name: field.default for field in fields(RecordSettings)}
+    values = {
+        name: record.get(configured, defaults[name]) for name, configured in CONFIGURATION_NAMES.items()
+    }
     if not isinstance(values["folder"], str) or not values["folder"]:
-        raise RecordSettingsError("record.folder has to be a folder")
+        raise RecordSettingsError(f"record.folder: expected the path of a folder, found {values['folder']!r}")
     if values["level"] not in list(RecordLevel):
-        raise RecordSettingsError(f"record.level has to be module or proxy, found {values['level']!r}")
+        raise RecordSettingsError(f"record.level: expected module or proxy, found {values['level']!r}")
     for name in NUMBERS:
         _check_number(CONFIGURATION_NAMES[name], values[name])
     if values["keep_mb"] < 2 * values["segment_mb"]:
-        raise RecordSettingsError("record.keepMB has to hold two segments of record.segmentMB")
+        raise RecordSettingsError(
+            "record.keepMB: expected at least the size of two segments of record.segmentMB"
+        )
     _check_secret(values["secret"])
     return RecordSettings(**values | {"level": RecordLevel(values["level"])})
 
@@ -116,11 +120,15 @@
 def _check_number(name: str, value: Any) -> None:
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not 0 < value < NUMBER_LIMIT:
-        raise RecordSettingsError(f"record.{name} has to be a number over 0, found {value!r}")
+        raise RecordSettingsError(
+            f"record.{name}: expected a number over 0 and under {NUMBER_LIMIT:g}, found {value!r}"
+        )
 
 
 def _check_secret(secret: Any) -> None:
     if secret is None:
         return
     if not isinstance(secret, str) or not MIN_SECRET_LENGTH <= len(secret) <= MAX_SECRET_LENGTH:
-        raise RecordSettingsError("record.secret has to be 8 to 64 characters")
+        raise RecordSettingsError(
+            f"record.secret: expected {MIN_SECRET_LENGTH} to {MAX_SECRET_LENGTH} characters"
+        )
--- a/calicofall/recording/recording_router.py
+++ b/calicofall/recording/recording_router.py
@@ -1,7 +1,7 @@
-"""A router that records what it is told and what it decides.
+"""A router that records its inputs and decisions.
 
-Invariants: recording changes no decision and raises no error into one; no value of a client's is recorded,
-and with an operator's secret no key and no tenant's name either.
+Invariants: recording changes no decision and raises no error into a router call; cached values are never
+recorded, and neither are keys and tenant names if the operator sets a secret.
 """
 
 from collections.abc import Callable, Iterable
@@ -19,26 +19,26 @@
 
 
 class RecordedSlots:
-    """A proxy's rate slots at the origin, which remembers the times that were looked up."""
+    """Wraps a proxy's rate slots at the origin and collects the slot times that were looked up."""
 
     def __init__(self, slots: OriginFetchSlots) -> None:
         self._slots = slots
         self._times: list[float] = []
 
-    def due_at(self, at: float) -> float:
-        """When the next slot is due (s); see RateSlots."""
-        due_at = self._slots.due_at(at)
+    def due_at(self, now: float) -> float:
+        """Returns the time of the next slot (s); see RateSlots."""
+        due_at = self._slots.due_at(now)
         self._times.append(due_at)
         return due_at
 
-    def take(self, at: float) -> float:
-        """Takes a slot: its time (s); see RateSlots."""
-        slot = self._slots.take(at)
+    def take(self, now: float) -> float:
+        """Takes a slot and returns its time (s); see RateSlots."""
+        slot = self._slots.take(now)
         self._times.append(slot)
         return slot
 
     def take_times(self) -> list[float]:
-        """The times that were looked up since the last call, in their order."""
+        """Returns the times that were looked up since the last call, in order."""
         times = self._times
         self._times = []
         return times
@@ -48,7 +48,7 @@
 
 
 class RecordingRouter(Router):
-    """A router that gives every call, as a stored event, to `record`, which must not raise."""
+    """A router that passes every call, as a stored event, to `record`, which must not raise."""
 
     def __init__(
         self,
@@ -61,14 +61,14 @@
         super().__init__(settings, seed, now)
         self._record_stored = record
         self._naming = naming
-        self._waits_drained_at = -1.0  # when it last had no more requests whose wait had ended (ms)
+        self._waits_drained_at = -1.0  # time at which no request with an ended wait was last left (ms)
         self._observe_policy()
 
     def _record(self, event: events.Event) -> None:
         self._record_stored(events.encode_event(event))
 
     def _observe_policy(self) -> None:
-        """Records the calls that the router hands on to its policy."""
+        """Records the calls that the router passes on to its policy."""
         policy = self.policy
 
         def on_endpoint_list(
@@ -93,7 +93,7 @@
 
     @property
     def origin_slots(self) -> Any:
-        """The rate slots at the origin, where there are any; set to the proxy's own, they are recorded."""
+        """The rate slots at the origin, if any; slots that are assigned here are recorded."""
         return self._slots
 
     @origin_slots.setter
@@ -106,7 +106,7 @@
     # Requests
 
     def route(self, now: float, request: Request) -> str | None:
-        """Records the request, where it is new, and the decision."""
+        """Records the request, if it is new, and the decision."""
         if request.id not in self.active_requests:
             self._record(
                 events.RequestReceived(
@@ -149,7 +149,7 @@
         load_report: object = None,
         is_final: bool = False,
     ) -> str | None:
-        """Records what became of an attempt, and the next decision."""
+        """Records the outcome of an attempt, and the next decision."""
         expires_at = request.expires_at
         endpoint = super().report_attempt(
             now, request, number, outcome, latency_ms, cache_status, load_report, is_final
@@ -175,18 +175,18 @@
         return endpoint
 
     def on_response_started(self, now: float, request: Request, number: int) -> None:
-        """Records that an answer began to be passed on."""
+        """Records that the proxy started to pass a response to the client."""
         self._record(events.ResponseStarted(now, request.id, number))
         super().on_response_started(now, request, number)
 
     def on_client_disconnected(self, now: float, request: Request) -> list[int]:
-        """Records that a client left, and which attempts were called off."""
+        """Records that a client disconnected, and which attempts were cancelled."""
         cancelled = super().on_client_disconnected(now, request)
         self._record(events.ClientDisconnected(now, request.id, cancelled))
         return cancelled
 
     def next_due_request(self, now: float) -> Request | None:
-        """Records whose wait has ended."""
+        """Records the request whose wait has ended, if any."""
         request = super().next_due_request(now)
         self._waits_drained_at = now
         if request is not None:
@@ -194,7 +194,7 @@
         return request
 
     def tick(self, now: float) -> float:
-        """Records the wait until the next tick, and the log lines and actions that this one added."""
+        """Records the time until the next tick, and the log lines and actions that this tick added."""
         line_count, action_count = len(self.log_lines), len(self.actions)
         wait_ms = super().tick(now)
         self._record(
@@ -211,35 +211,35 @@
         )
         return wait_ms
 
-    # What other parts of the proxy put in
+    # Inputs from other components of the proxy
 
     def set_process_count(self, count: int) -> None:
-        """Records how many processes this proxy has."""
+        """Records the number of processes of this proxy."""
         self._record(events.ProcessCountSet(0.0, count))
         super().set_process_count(count)
 
     def restore_learned_state(self, now: float, learned: dict[str, dict[str, float]]) -> None:
-        """Records what a former incarnation had learned."""
+        """Records the state that a previous incarnation had learned."""
         self._record(events.LearnedStateRestored(now, learned))
         super().restore_learned_state(now, learned)
 
     def apply_settings(self, now: float, deployment: dict[str, Any]) -> None:
-        """Records settings that are applied while the router runs."""
+        """Records new settings that are applied while the router runs."""
         self._record(events.SettingsApplied(now, pseudonymized_settings(deployment, self._naming)))
         super().apply_settings(now, deployment)
 
     def set_quota_shares(self, quotas: dict[str, float], endpoint_rate: float | None) -> None:
-        """Records this proxy's shares."""
+        """Records this proxy's shares of quotas and of the request rate of an endpoint."""
         named = {self._naming.tenant(name): quota for name, quota in quotas.items()}
         self._record(events.QuotaSharesSet(0.0, named, endpoint_rate))
         super().set_quota_shares(quotas, endpoint_rate)
 
     def reinstate(self, now: float, name: str) -> None:
-        """Records that an endpoint is no outlier."""
+        """Records that the proxies agreed that an endpoint is not an outlier."""
         self._record(events.EndpointReinstated(now, name))
         super().reinstate(now, name)
 
     def eject_on_evidence(self, now: float, name: str) -> None:
-        """Records that an endpoint is an outlier."""
+        """Records that the proxies agreed that an endpoint is an outlier."""
         self._record(events.EndpointEjected(now, name))
         super().eject_on_evidence(now, name)
--- a/calicofall/recording/replayer.py
+++ b/calicofall/recording/replayer.py
@@ -1,11 +1,12 @@
-"""Replays a record: gives a fresh router the same calls, and compares its decisions with the recorded ones.
+"""Replays a record: makes the same calls to a new router and compares its decisions with the recorded ones.
 
-A strict replay stops at the first difference. One that is not strict, of other settings or another version of
-the program, counts the decisions that differ and follows the record: what is told next is what became of the
-recorded decision.
+A strict replay stops at the first difference. A replay that is not strict, with other settings or another
+version of the program, counts the decisions that differ and then follows the recorded decision, because the
+events after it are its consequences.
 
-The module is also loaded by itself beside another version of the program (`replay --with FOLDER`): of that
-one it uses the router, requests and attempts, and what `router_access` and `state_schema` use.
+This module is also loaded on its own together with another version of the program (`replay --with FOLDER`).
+From that version it uses the router, requests and attempts, and whatever `router_access` and `state_schema`
+use.
 """
 
 from collections import Counter, deque
@@ -20,44 +21,44 @@
 from calicofall.routing.request import Request
 from calicofall.routing.router import Router
 
-PRECEDING_EVENTS_SHOWN = 12  # events that are shown before one that differs
+PRECEDING_EVENTS_SHOWN = 12  # number of events that are shown before a difference
 
 RestoreState = Callable[[Router, dict[str, Any]], None]
 
 
 class ReplayedSlots:
-    """Rate slots at the origin that answer with the recorded times, in the same order."""
+    """Rate slots at the origin that return the recorded times, in the recorded order."""
 
     def __init__(self) -> None:
         self._times: deque[float] = deque()
-        self.demand = self  # unmet demand, which is not counted here
+        self.demand = self  # `add` of the unmet demand, which a replay does not count
 
     def set_times(self, times: Iterable[float]) -> None:
         """Sets the times that the next calls return (s)."""
         self._times = deque(times)
 
-    def due_at(self, _at: float) -> float:
-        """The next recorded time (s); 0 where the router asks more often than it did."""
+    def due_at(self, _now: float) -> float:
+        """Returns the next recorded time (s); 0 if the router makes more calls than were recorded."""
         return self._times.popleft() if self._times else 0.0
 
     take = due_at
 
-    def return_slot(self, _at: float, _slot: float) -> None:
-        """A slot was not needed: nothing to do."""
+    def return_slot(self, _now: float, _slot: float) -> None:
+        """Ignores a slot that was returned unused."""
 
-    def add(self, _at: float) -> None:
-        """One more slot was wished for: nothing to do."""
+    def add(self, _now: float) -> None:
+        """Ignores unmet demand for a slot."""
 
 
 class ReplayMismatchError(Exception):
     """The first difference between a record and its replay.
 
     Attributes:
-        event: The event that differs, as stored.
-        recorded: What the record has.
-        replayed: What the router decided.
-        view: The router then, in a few figures.
-        before: The events before it, as stored.
+        event: Stored form of the event that differs.
+        recorded: Values in the record.
+        replayed: Values that the router returned in the replay.
+        router_summary: Key figures of the router at that time.
+        preceding_events: Stored form of the events before it.
     """
 
     def __init__(
@@ -68,7 +69,7 @@
         router_summary: dict[str, Any],
         preceding_events: list[list[Any]],
     ) -> None:
-        super().__init__(f"{event[0]} at {event[1]:.3f} ms: recorded {recorded}, played {replayed}")
+        super().__init__(f"{event[0]} at {event[1]:.3f} ms: recorded {recorded}, replayed {replayed}")
         self.event = event
         self.recorded = recorded
         self.replayed = replayed
@@ -77,14 +78,14 @@
 
 
 class Replayer:
-    """A router that a record is played to.
+    """Replays a record on a router.
 
     Attributes:
         router: The router.
         strict: Whether the first difference ends the replay.
-        event_count: Events played so far.
-        decision_count: Decisions compared so far.
-        differences: By what the record and the router did instead, how many decisions differ.
+        event_count: Number of events replayed so far.
+        decision_count: Number of decisions compared so far.
+        differences: Number of differing decisions by "recorded outcome -> replayed outcome".
         requests: Requests in flight, by id.
     """
 
@@ -95,12 +96,12 @@
         settings: dict[str, Any] | None = None,
         strict: bool = True,
     ) -> None:
-        """Makes the router, and puts the head's state into it, where there is one.
+        """Creates the router and restores the state in the head, if there is one.
 
         Args:
             head: The head of the record.
-            restore_state: Puts a stored state into a router.
-            settings: To play to, instead of the record's.
+            restore_state: Restores a stored state into a router.
+            settings: Settings of the router; None selects those of the record.
             strict: Whether the first difference ends the replay.
         """
         self.strict = strict
@@ -112,69 +113,69 @@
         if head.get("state") is not None:
             restore_state(self.router, head["state"])
         self._slots = ReplayedSlots() if head.get("turns") else None
-        self.router.origin_slots = self._slots  # type: ignore[assignment]  # answers the same calls
+        self.router.origin_slots = self._slots  # type: ignore[assignment]  # has the same methods
         self._rankings: dict[tuple[int | None, PlacementConstraint], list[str]] = {}
         if head.get("veiled"):
             router_access.use_rankings(self.router, self._rankings)
-        self._stored: list[Any] = []  # the event that is played, as stored
+        self._stored: list[Any] = []  # stored form of the event that is being replayed
         self._preceding_events: deque[list[Any]] = deque(maxlen=PRECEDING_EVENTS_SHOWN)
         self.requests: dict[str, Request] = dict(self.router.active_requests)
-        self._players = self._players_by_type()
+        self._handlers = self._handlers_by_type()
 
-    def play(self, frames: Iterable[list[list[Any]]]) -> None:
-        """Plays all events of some frames.
+    def replay(self, frames: Iterable[list[list[Any]]]) -> None:
+        """Replays all events of the frames.
 
         Raises:
-            ReplayMismatchError: A decision differs, in a strict replay.
-            KeyError: An event is about a request or a method that is unknown.
-            ValueError: The kind of an event is unknown, or it has other fields than events of its kind.
-            TypeError: An event is no list.
+            ReplayMismatchError: A value differs, in a strict replay.
+            KeyError: An event refers to an unknown request or method.
+            ValueError: The kind of an event is unknown, or the number of its fields is not that of the kind.
+            TypeError: An event is not a list.
         """
         for frame in frames:
             for stored in frame:
-                self.play_event(stored)
+                self.replay_event(stored)
 
-    def play_event(self, stored: list[Any]) -> Event:
-        """Plays one event, as stored, and returns it decoded; raises what `play` raises."""
+    def replay_event(self, stored: list[Any]) -> Event:
+        """Replays one stored event and returns it decoded; raises the same errors as `replay`."""
         self._stored = stored
         event = decode_event(stored)
-        self._players[type(event)](event)
+        self._handlers[type(event)](event)
         self.event_count += 1
         self._preceding_events.append(stored)
         return event
 
-    def _players_by_type(self) -> dict[type[Event], Callable[[Any], None]]:
-        """By type of event, what plays it."""
+    def _handlers_by_type(self) -> dict[type[Event], Callable[[Any], None]]:
+        """Returns the method that replays an event, by type of event."""
         return {
-            events.EndpointListReceived: self._play_endpoint_list,
-            events.GossipReceived: self._play_gossip,
-            events.RequestReceived: self._play_request,
-            events.RequestRouted: self._play_route,
-            events.AttemptReported: self._play_attempt,
-            events.ResponseStarted: self._play_response_started,
-            events.ClientDisconnected: self._play_client_disconnected,
-            events.WaitEnded: self._play_wait_ended,
-            events.Ticked: self._play_tick,
-            events.ProcessCountSet: self._play_process_count,
-            events.LearnedStateRestored: self._play_learned_state,
-            events.SettingsApplied: self._play_settings,
-            events.QuotaSharesSet: self._play_quota_shares,
-            events.EndpointReinstated: self._play_reinstated,
-            events.EndpointEjected: self._play_ejected,
-            events.KeyRanked: self._play_ranking,
-            events.ProxyNote: self._play_note,
+            events.EndpointListReceived: self._replay_endpoint_list,
+            events.GossipReceived: self._replay_gossip,
+            events.RequestReceived: self._replay_request,
+            events.RequestRouted: self._replay_route,
+            events.AttemptReported: self._replay_attempt,
+            events.ResponseStarted: self._replay_response_started,
+            events.ClientDisconnected: self._replay_client_disconnected,
+            events.WaitEnded: self._replay_wait_ended,
+            events.Ticked: self._replay_tick,
+            events.ProcessCountSet: self._replay_process_count,
+            events.LearnedStateRestored: self._replay_learned_state,
+            events.SettingsApplied: self._replay_settings,
+            events.QuotaSharesSet: self._replay_quota_shares,
+            events.EndpointReinstated: self._replay_reinstated,
+            events.EndpointEjected: self._replay_ejected,
+            events.KeyRanked: self._replay_ranking,
+            events.ProxyNote: self._replay_note,
         }
 
-    # What the router is told
+    # Inputs of the router
 
-    def _play_endpoint_list(self, event: events.EndpointListReceived) -> None:
+    def _replay_endpoint_list(self, event: events.EndpointListReceived) -> None:
         entries = [tuple(entry) for entry in event.entries]
         self.router.on_endpoint_list(event.at_ms, event.kind, event.version, entries)
 
-    def _play_gossip(self, event: events.GossipReceived) -> None:
+    def _replay_gossip(self, event: events.GossipReceived) -> None:
         self.router.on_gossip(event.at_ms, event.sender, bytes.fromhex(event.message_hex))
 
-    def _play_request(self, event: events.RequestReceived) -> None:
+    def _replay_request(self, event: events.RequestReceived) -> None:
         self.requests[event.request_id] = Request(
             event.request_id,
             event.method,
@@ -187,34 +188,34 @@
             estimated_work_ms=event.estimated_work_ms,
         )
 
-    def _play_ranking(self, event: events.KeyRanked) -> None:
+    def _replay_ranking(self, event: events.KeyRanked) -> None:
         zones, kinds = (frozenset(value) if value else None for value in event.constraint)
         self._rankings[event.key, (zones, kinds)] = event.endpoints
 
-    def _play_process_count(self, event: events.ProcessCountSet) -> None:
+    def _replay_process_count(self, event: events.ProcessCountSet) -> None:
         self.router.set_process_count(event.process_count)
 
-    def _play_learned_state(self, event: events.LearnedStateRestored) -> None:
+    def _replay_learned_state(self, event: events.LearnedStateRestored) -> None:
         self.router.restore_learned_state(event.at_ms, event.learned)
 
-    def _play_settings(self, event: events.SettingsApplied) -> None:
+    def _replay_settings(self, event: events.SettingsApplied) -> None:
         self.router.apply_settings(event.at_ms, event.settings)
 
-    def _play_quota_shares(self, event: events.QuotaSharesSet) -> None:
+    def _replay_quota_shares(self, event: events.QuotaSharesSet) -> None:
         self.router.set_quota_shares(event.quotas, event.endpoint_rate)
 
-    def _play_reinstated(self, event: events.EndpointReinstated) -> None:
+    def _replay_reinstated(self, event: events.EndpointReinstated) -> None:
         self.router.reinstate(event.at_ms, event.endpoint)
 
-    def _play_ejected(self, event: events.EndpointEjected) -> None:
+    def _replay_ejected(self, event: events.EndpointEjected) -> None:
         self.router.eject_on_evidence(event.at_ms, event.endpoint)
 
-    def _play_note(self, event: events.ProxyNote) -> None:
-        """A note tells the router nothing."""
+    def _replay_note(self, event: events.ProxyNote) -> None:
+        """Ignores a note, which is no input of the router."""
 
-    # What the router decides
+    # Decisions of the router
 
-    def _play_route(self, event: events.RequestRouted) -> None:
+    def _replay_route(self, event: events.RequestRouted) -> None:
         request = self.requests[event.request_id]
         request.expires_at = event.expires_at_ms
         self._use_slot_times(event.slot_times)
@@ -223,7 +224,7 @@
         endpoint = self.router.route(event.at_ms, request)
         self._compare_decision(event.at_ms, request, event.decision, endpoint)
 
-    def _play_attempt(self, event: events.AttemptReported) -> None:
+    def _replay_attempt(self, event: events.AttemptReported) -> None:
         request = self.requests[event.request_id]
         request.expires_at = event.expires_at_ms
         self._use_slot_times(event.slot_times)
@@ -239,20 +240,20 @@
         )
         self._compare_decision(event.at_ms, request, event.decision, endpoint)
 
-    def _play_response_started(self, event: events.ResponseStarted) -> None:
+    def _replay_response_started(self, event: events.ResponseStarted) -> None:
         self.router.on_response_started(event.at_ms, self.requests[event.request_id], event.attempt)
 
-    def _play_client_disconnected(self, event: events.ClientDisconnected) -> None:
+    def _replay_client_disconnected(self, event: events.ClientDisconnected) -> None:
         request = self.requests[event.request_id]
         cancelled = self.router.on_client_disconnected(event.at_ms, request)
         self._compare(event.cancelled_attempts, cancelled)
         self._drop_if_done(request)
 
-    def _play_wait_ended(self, event: events.WaitEnded) -> None:
+    def _replay_wait_ended(self, event: events.WaitEnded) -> None:
         request = self.router.next_due_request(event.at_ms)
         self._compare(event.request_id, request.id if request is not None else None)
 
-    def _play_tick(self, event: events.Ticked) -> None:
+    def _replay_tick(self, event: events.Ticked) -> None:
         now = event.at_ms
         while event.waits_drained and (request := self.router.next_due_request(now)) is not None:
             self._compare(None, request.id)
@@ -275,7 +276,7 @@
             self._slots.set_times(times)
 
     def _drop_if_done(self, request: Request) -> None:
-        """Forgets a request that is over, once none of its attempts is out."""
+        """Removes a finished request once all of its attempts have an outcome."""
         if all(attempt.outcome for attempt in request.attempts):
             del self.requests[request.id]
 
@@ -288,7 +289,7 @@
         replayed = RecordedDecision(endpoint, request.answer, request.retry_after_ms, request.timeout_ms)
         if replayed != recorded:
             self._compare([*recorded], [*replayed])
-            # Only a difference in where it goes or what is answered counts; a wait or a time-out may differ.
+            # Only a different endpoint or answer counts as a difference; waits and timeouts may differ.
             if replayed[:2] != recorded[:2]:
                 self.differences[f"{recorded.outcome()} -> {replayed.outcome()}"] += 1
                 router_access.follow_decision(self.router, now, request, recorded)
@@ -296,17 +297,17 @@
             self._drop_if_done(request)
 
     def _compare(self, recorded: Any, replayed: Any) -> None:
-        """Ends a strict replay where the record and the router differ."""
+        """Raises ReplayMismatchError in a strict replay if the record and the router differ."""
         if self.strict and recorded != replayed:
             router_summary = self.router_summary(self._stored)
             raise ReplayMismatchError(
                 self._stored, recorded, replayed, router_summary, [*self._preceding_events]
             )
 
-    # What is shown
+    # Output
 
     def router_summary(self, stored: list[Any] | None = None) -> dict[str, Any]:
-        """The router as it is now, in a few figures, and the request that a stored event is about."""
+        """Returns key figures of the router now, and the request that a stored event refers to, if any."""
         summary = router_access.describe_router(self.router)
         request = self._request_of(stored)
         if request is None or stored is None:
@@ -327,13 +328,13 @@
         return summary
 
     def _request_of(self, stored: list[Any] | None) -> Request | None:
-        """The request that a stored event is about, if it is about one that is known."""
+        """Returns the request that a stored event refers to, if it is known."""
         if not stored or len(stored) <= 2 or not isinstance(stored[2], str):
             return None
         return self.requests.get(stored[2])
 
 
 def events_of(frames: Iterable[list[list[Any]]]) -> Iterator[list[Any]]:
-    """The stored events of frames, one by one."""
+    """Yields the stored events of the frames."""
     for frame in frames:
         yield from frame
--- a/calicofall/recording/router_access.py
+++ b/calicofall/recording/router_access.py
@@ -1,8 +1,8 @@
-"""What recording and replay use of a router beyond its public calls, in one place.
+"""Access of recording and replay to a router beyond its public methods, collected in one module.
 
-Keys under pseudonyms hash to other places than the keys themselves, so that rankings are recorded, and used
-in replay; and a replay that follows the record in spite of a difference puts the router where the recorded
-decision would have put it.
+Pseudonyms hash differently from the keys that they replace, so rankings of endpoints are recorded and the
+replay uses the recorded ones. A replay that continues after a difference puts the router into the state that
+the recorded decision would have led to.
 """
 
 from collections.abc import Callable, Mapping
@@ -13,11 +13,11 @@
 from calicofall.routing.request import Request
 from calicofall.routing.router import Router
 
-WAIT_AFTER_DIFFERENCE_MS = 15.0  # until the next look at a request that the record lets wait
+WAIT_AFTER_DIFFERENCE_MS = 15.0  # wait of a request that waits in the record, but not in the replay
 
 
 def observe_rankings(router: Router, observe: Callable[[int, PlacementConstraint, list[str]], None]) -> None:
-    """Calls `observe` with key, place and endpoints whenever the router ranks endpoints for a key anew."""
+    """Calls `observe` with key, constraint and endpoint names whenever the router computes a new ranking."""
     placement = router.policy.placement
     ranking = placement.ranking
 
@@ -34,7 +34,7 @@
 def use_rankings(
     router: Router, recorded: Mapping[tuple[int | None, PlacementConstraint], list[str]]
 ) -> None:
-    """Lets a router use recorded rankings: names of endpoints by key and place, which may be added later."""
+    """Makes a router use recorded rankings: endpoint names by key and constraint, which may be extended."""
     endpoints = router.policy.endpoints
     placement = router.policy.placement
     ranking = placement.ranking
@@ -50,10 +50,10 @@
 
 
 def follow_decision(router: Router, now: float, request: Request, decision: RecordedDecision) -> None:
-    """Puts a router where a recorded decision would have put it.
+    """Puts a router into the state that a recorded decision would have led to.
 
-    What the record tells next is what became of that decision: nobody knows what would have become of
-    another.
+    The following events of the record are consequences of that decision; the consequences of another decision
+    are unknown.
     """
     endpoint = decision.endpoint
     attempt = request.attempts[-1] if request.attempts and request.attempts[-1].outcome is None else None
@@ -72,12 +72,12 @@
 
 
 def forget_waits(router: Router, request: Request) -> None:
-    """Drops the waits of a request."""
+    """Removes all pending waits of a request."""
     router.waiting = [wait for wait in router.waiting if wait[2] is not request]
 
 
 def describe_router(router: Router) -> dict[str, Any]:
-    """A router in a few figures: of each limit what is in flight and the limit itself."""
+    """Returns key figures of a router; for each limit, the requests in flight and the limit itself."""
     policy = router.policy
     return {
         "fleet": [round(policy.fleet_limit.in_flight, 3), round(policy.fleet_limit.value, 3)],
@@ -88,7 +88,7 @@
 
 
 def describe_ranking(router: Router, now: float, request: Request) -> dict[str, float] | None:
-    """By endpoint of a request's key, the fraction of its requests that it is sent; None without a key."""
+    """Returns the admitted fraction of each endpoint in a key's ranking; None if the request has no key."""
     if request.key is None:
         return None
     return {endpoint.name: round(endpoint.current_fraction(now), 4) for endpoint in router.ranking(request)}
--- a/calicofall/recording/segment_writer.py
+++ b/calicofall/recording/segment_writer.py
@@ -1,13 +1,14 @@
-"""Cuts a stream of events into segments that can each be replayed by themselves.
+"""Divides a stream of events into segments, each of which can be replayed without the others.
 
-    begins   with the head: the first segment with the router's arguments, every later one with its state
-    grows    by a frame each turn, while the writer has room and the average rate of bytes is kept
-    ends     by age, by size, or because events were dropped; the next begins when there is room for its head
+    begin    with the head: the first segment with the router's arguments, every later one with its state
+    append   one frame per call, while the caller accepts the bytes and the average write rate is kept
+    end      by age, by size, or because events were dropped; the next segment begins when its head fits
 
-A turn costs the event loop the time to encode the events; a state is encoded once a segment.
+Each call of `next_steps` takes the event loop the time to encode the events. The state is encoded once per
+segment.
 
-Invariants: no file is touched here; what is held is bounded; a segment does not go on past dropped events:
-they end it, and the next one begins with the router's state.
+Invariants: this module accesses no files; the memory that it holds is bounded; a segment does not continue
+after dropped events, which end it, and the next one begins with the router's state.
 """
 
 from collections.abc import Callable
@@ -20,35 +21,35 @@
 
 __all__ = ["AppendFrame", "BeginSegment", "EndSegment", "SegmentWriter", "Step", "parse_record_settings"]
 
-MAX_EVENTS = 20_000  # between two turns
-BURST_S = 4.0  # of the average rate, so much may be saved up
-HEAD_RESERVE_BYTES = 1 << 20  # a segment begins only when so much may be written
+MAX_EVENTS = 20_000  # held between two calls of `next_steps`
+BURST_S = 4.0  # budget that may accumulate, in seconds of the average write rate
+HEAD_RESERVE_BYTES = 1 << 20  # minimum space and budget for a segment to begin
 
 
 @dataclass(frozen=True, slots=True)
 class BeginSegment:
-    """A new file, with this head (JSON text)."""
+    """Create a file with this head (JSON text)."""
 
     content: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class AppendFrame:
-    """A frame of events (JSON text)."""
+    """Append a frame of events (JSON text) to the file."""
 
     content: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class EndSegment:
-    """The file is whole."""
+    """Complete the file."""
 
 
 Step = BeginSegment | AppendFrame | EndSegment
 
 
 class SegmentWriter:
-    """The segments of one router's record."""
+    """Divides the record of one router into segments."""
 
     def __init__(
         self,
@@ -60,10 +61,10 @@
         """Begins a record.
 
         Args:
-            settings: Bounds of segments and of the rate of bytes.
-            head: The head of every segment, but for its number and state.
-            encode_state: The router's state now.
-            now: The moment (s), on the clock of `turn`.
+            settings: Limits of segments and of the write rate.
+            head: The head of every segment, except its number and state.
+            encode_state: Returns the router's current state.
+            now: Current time on the clock of `next_steps` (s).
         """
         self.settings = settings
         self.head = head
@@ -71,7 +72,7 @@
         self.events_written = 0
         self.events_dropped = 0
         self._encode_state = encode_state
-        self._complete = True  # nothing was dropped or lost since the segment, or the process, began
+        self._complete = True  # whether no event was dropped or lost since the segment, or the process, began
         self._segment_number = 0
         self._segment_open = False
         self._segment_began_at = now
@@ -81,31 +82,31 @@
         self._budget_at = now
 
     def add_event(self, event: list[Any]) -> None:
-        """Takes a stored event. Does not fail: where there are too many, they are dropped and counted."""
+        """Adds a stored event. Never fails: at the limit, all pending events are dropped and counted."""
         if len(self.events) >= MAX_EVENTS:
             self._drop_events()
         self.events.append(event)
 
     def end_segment(self) -> None:
-        """Lets the segment end with the next turn."""
+        """Makes the segment end at the next call of `next_steps`."""
         self._segment_began_at = -inf
 
     def on_step_lost(self) -> None:
-        """A step that was handed out was not carried out: the segment has a gap, and ends."""
+        """Ends the segment, which has a gap because a step was not carried out."""
         self._complete = False
 
     def next_steps(self, now: float, available_bytes: float) -> list[Step]:
-        """The steps to carry out next, in their order.
+        """Returns the steps to carry out next, in order.
 
         Args:
-            now: The moment (s).
-            available_bytes: How many bytes the caller can accept now.
+            now: Current time (s).
+            available_bytes: Number of bytes that the caller accepts now.
         """
         earned = (now - self._budget_at) * self.settings.bytes_per_s
         self._budget = min(self._max_budget, self._budget + earned)
         self._budget_at = now
         steps: list[Step] = []
-        if self._segment_open and self._segment_is_full(now):
+        if self._segment_open and self._segment_must_end(now):
             if self._complete:
                 steps += self._write_events(available_bytes)
             steps.append(EndSegment())
@@ -118,7 +119,7 @@
             steps.append(self._begin_segment(now))
         return steps + self._write_events(available_bytes)
 
-    def _segment_is_full(self, now: float) -> bool:
+    def _segment_must_end(self, now: float) -> bool:
         return (
             not self._complete
             or now - self._segment_began_at >= self.settings.segment_s
@@ -128,7 +129,7 @@
     def _begin_segment(self, now: float) -> BeginSegment:
         state = None
         if self._segment_number > 0 or not self._complete:
-            # What waits here was handed to the router before, so that it is in the state.
+            # The router has already processed the pending events, so its state includes them.
             if not self._complete:
                 self.events_dropped += len(self.events)
             self.events.clear()
@@ -143,7 +144,7 @@
         return BeginSegment(content)
 
     def _write_events(self, available_bytes: float) -> list[Step]:
-        """A frame of the events that wait; none where they are too many for the room or the rate."""
+        """Returns a frame of the pending events; drops them if they exceed the available space or budget."""
         if not self.events:
             return []
         content = frames.encode_json(self.events)
--- a/calicofall/recording/state_codec.py
+++ b/calicofall/recording/state_codec.py
@@ -1,8 +1,8 @@
-"""A router's whole state as plain values of JSON, and back.
+"""Encodes a router's whole state as JSON values, and restores it.
 
-A state is `{"fields": [[name, value], ...], "table": [[kind, content], ...]}`. Lists, dicts, sets and objects
-stand once each in the table, since several fields may hold the same one; a value refers to them by index.
-Values that JSON lacks are written as an object with one key:
+A state is `{"fields": [[name, value], ...], "table": [[kind, content], ...]}`. The table holds each list,
+dict, set and object once, since several fields may hold the same one; values refer to them by index. Values
+that JSON cannot represent are written as an object with one key:
 
     {"r": index}    a reference to the table
     {"t": [...]}    a tuple
@@ -10,9 +10,9 @@
     {"i": "..."}    an integer of more than 64 bits
     {"f": "..."}    a float that is not finite
 
-Which fields an object has is described in `state_schema`.
+`state_schema` defines the fields of each class.
 
-Invariants: nothing is left out silently: an attribute that the schema does not know is an error.
+Invariants: nothing is omitted silently; an attribute that is missing from the schema is an error.
 """
 
 from collections import deque
@@ -29,22 +29,22 @@
 __all__ = ["UnsupportedStateError", "encode_state", "restore_state"]
 
 SEQUENCES: dict[str, type] = {"list": list, "deque": deque}
-INTEGER_LIMIT = 1 << 63  # integers beyond it are written as text
+INTEGER_LIMIT = 1 << 63  # larger integers are written as text
 
 
 class _Encoder:
-    """Encodes values, with one table of all that may be referred to twice."""
+    """Encodes values, with one table of all objects that may be referenced more than once."""
 
     def __init__(self, naming: Naming | None) -> None:
         self.naming = naming
         self.table: list[Any] = []
         self.indexes: dict[int, int] = {}  # by id() of an object
-        # Without these references, an object made only to be encoded could be freed, and its id() be that of
-        # the next one, which would then be taken for the same object.
+        # These references keep objects alive that were created only to be encoded. Otherwise another object
+        # could reuse the id() of a freed one and be taken for the same object.
         self.encoded: list[object] = []
 
     def encode(self, value: Any) -> Any:
-        """The form of a value in the record."""
+        """Returns the stored form of a value."""
         if value is None or isinstance(value, bool | str):
             return value
         if isinstance(value, int):
@@ -59,7 +59,7 @@
         if index is None:
             index = self.indexes[id(value)] = len(self.table)
             self.encoded.append(value)
-            self.table.append(None)  # holds the place: what an object refers to comes after it
+            self.table.append(None)  # reserves the index: referenced objects get later ones
             self.table[index] = self._entry(value)
         return {"r": index}
 
@@ -70,17 +70,17 @@
         if cls is list or cls is deque:
             return [cls.__name__, [self.encode(item) for item in value]]
         if cls is set:
-            # In the set's own order, records of the same state would differ by the process's hash seed.
+            # Sorted, because the iteration order of a set depends on the process's hash seed.
             return ["set", [self.encode(item) for item in sorted(value, key=str)]]
         if cls is Random:
             return ["Random", self.encode(value.getstate())]
         stored = BY_LIVE_CLASS.get(cls)
         if stored is None:
-            raise UnsupportedStateError(f"a {cls.__name__} has no place in a state")
+            raise UnsupportedStateError(f"a stored state cannot hold an object of type {cls.__name__}")
         return [stored.name, self.fields(stored, value)]
 
     def fields(self, stored: StoredClass, instance: object) -> list[list[Any]]:
-        """The stored fields of an object: names and encoded values."""
+        """Returns the stored fields of an object: names and encoded values."""
         stored.check(instance)
         return [
             [name, self.encode(self._named(stored.name, name, value))]
@@ -88,7 +88,7 @@
         ]
 
     def _named(self, stored_class: str, name: str, value: Any) -> Any:
-        """The value of a field, with its keys and tenants under their names in the record."""
+        """Returns the value of a field with its keys and tenants replaced by their names in the record."""
         if self.naming is None:
             return value
         rename = PSEUDONYMIZED.get((stored_class, name))
@@ -96,14 +96,14 @@
 
 
 class _Decoder:
-    """Decodes values; each entry of the table becomes one object, however often it is referred to."""
+    """Decodes values; each entry of the table becomes one object, however often it is referenced."""
 
     def __init__(self, table: list[Any]) -> None:
         self.table = table
         self.objects: dict[int, Any] = {}  # by index in the table
 
     def decode(self, value: Any) -> Any:
-        """The value that a form in the record stands for."""
+        """Returns the value of a stored form."""
         if not isinstance(value, dict):
             return value
         ((kind, content),) = value.items()
@@ -119,7 +119,7 @@
             case "f":
                 return float(content)
             case _:
-                raise ValueError(f"a value of an unknown kind {kind!r}")
+                raise ValueError(f"unknown kind of value {kind!r}, expected r, t, z, i or f")
 
     def _object(self, index: int) -> Any:
         if index not in self.objects:
@@ -128,7 +128,7 @@
         return self.objects[index]
 
     def _create(self, index: int, kind: str, content: Any) -> None:
-        """Makes the object of an entry; known by its index before it is filled, as objects may be cyclic."""
+        """Creates the object of an entry, and registers it before filling it, as references may be cyclic."""
         if kind == "Random":
             self.objects[index] = random = Random()
             random.setstate(self.decode(content))
@@ -156,25 +156,25 @@
 
 
 def encode_state(router: Router, naming: Naming | None = None) -> dict[str, Any]:
-    """All that a router and its policy hold, as plain values.
+    """Encodes the state of a router and its policy as JSON values.
 
     Args:
         router: The router.
-        naming: Names keys and tenants in the record; None writes them as they are.
+        naming: Maps keys and tenants to their names in the record; None writes them unchanged.
 
     Raises:
-        UnsupportedStateError: The state holds what the schema does not know.
+        UnsupportedStateError: The state holds an attribute or type that is missing from the schema.
     """
     encoder = _Encoder(naming)
     return {"fields": encoder.fields(ROUTER, router), "table": encoder.table}
 
 
 def restore_state(router: Router, state: dict[str, Any]) -> None:
-    """Puts a stored state into a router, in place of its own.
+    """Replaces the state of a router by a stored one.
 
     Raises:
-        KeyError: An object is of an unknown class, or the state lacks a part.
-        ValueError: Fields are missing or unknown, or a value cannot be read.
-        TypeError: A value is of the wrong type.
+        KeyError: An object has an unknown class, or `fields` or `table` is missing from the state.
+        ValueError: Fields are missing or unknown, or a value cannot be decoded.
+        TypeError: A value has the wrong type.
     """
     _Decoder(state["table"]).set_fields(ROUTER, router, state["fields"])
--- a/calicofall/recording/state_schema.py
+++ b/calicofall/recording/state_schema.py
@@ -1,8 +1,8 @@
-"""The schema of stored state: the names under which records hold the router's objects and their fields.
+"""The schema of stored state: the names of the router's classes and fields in records.
 
-Each table gives the stored fields of a class in the order in which they are written, and the path of the
-attribute that holds each one now. Stored names and their order are part of the record format: they stay as
-they are, whatever the attributes are called and however a class is split; a new field is a new format.
+Each table lists the stored fields of a class in the order in which they are written, with the path of the
+attribute that holds the field in memory. Stored names and their order are part of the record format. They do
+not change if an attribute is renamed or a class is split; a new field requires a new format.
 """
 
 from collections.abc import Callable, Mapping
@@ -144,7 +144,7 @@
     "fade_at": "slow_start.refresh_at",
     "overloaded": "limits.overloaded",
 }
-# The parts that a policy consists of, by attribute.
+# Components of a policy, by attribute.
 POLICY_COMPONENTS: Mapping[str, type[Any]] = {
     "settings": RoutingSettings,
     "deployment": Deployment,
@@ -171,7 +171,7 @@
     "selector": EndpointSelector,
     "observer": AttemptObserver,
 }
-# The other parts that each part refers to: `timeouts._settings` is the policy's `settings`, and so on.
+# Components that each component references: `timeouts._settings` is the policy's `settings`, and so on.
 POLICY_REFERENCES: Mapping[str, tuple[str, ...]] = {
     "polling": ("outbox",),
     "endpoints": (
@@ -352,7 +352,7 @@
 
 
 def _bind_router(router: Router) -> None:
-    """Points the calls that a router hands on unchanged at its restored policy."""
+    """Binds the methods that a router delegates unchanged to its restored policy."""
     router.bind_policy()
 
 
@@ -385,7 +385,7 @@
 
 
 def _bind_policy(policy: RoutingPolicy) -> None:
-    """Works out what is not stored."""
+    """Derives the attributes that are not stored."""
     policy.settings.derive()
     policy.zone_latency.extra = None
     policy.placement.ranking = policy.placement.rank
@@ -396,7 +396,9 @@
     RoutingPolicy,
     POLICY_FIELDS,
     components=POLICY_COMPONENTS,
-    aliases={f"{part}._{name}": name for part, names in POLICY_REFERENCES.items() for name in names},
+    aliases={
+        f"{component}._{name}": name for component, names in POLICY_REFERENCES.items() for name in names
+    },
     not_stored={
         "zone_latency.extra": "follows from the floors",
         "placement.ranking": "a recording router's or a replayer's own wrapper of a method",
@@ -446,7 +448,7 @@
     return {naming.tenant(name): value for name, value in by_tenant.items()}
 
 
-# By stored class and stored field: how keys and tenants in a stored value get their names in the record.
+# Functions that replace keys and tenants in a stored value by their names in the record, by class and field.
 PSEUDONYMIZED: dict[tuple[str, str], Rename] = {
     ("Rpc", "key"): lambda key, naming: naming.key(key),
     ("Rpc", "tenant"): lambda name, naming: None if name is None else naming.tenant(name),
--- a/calicofall/recording/stored_class.py
+++ b/calicofall/recording/stored_class.py
@@ -1,11 +1,11 @@
-"""Describes how objects of one class are stored: which stored field holds which attribute.
+"""Describes how objects of one class are stored: the attribute that each stored field holds.
 
-The tables themselves are in `state_schema`; the walk over a whole state is in `state_codec`. A path is a
-dotted attribute name, relative to the stored object: `slow_start.ramp_ms` is the attribute `ramp_ms` of the
-component `slow_start`.
+The tables are in `state_schema`, the traversal of a whole state is in `state_codec`. A path is a dotted
+attribute name relative to the stored object: `slow_start.ramp_ms` is the attribute `ramp_ms` of the component
+`slow_start`.
 
-Invariants: an attribute that is neither stored nor listed as not stored is an error when a state is written,
-so that a new attribute cannot be lost silently.
+Invariants: writing a state with an attribute that is neither stored nor listed as not stored is an error, so
+that a new attribute cannot be lost silently.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -20,10 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ConvertedField:
-    """A stored field whose value has another shape in memory than in a record.
+    """A stored field whose value has different forms in memory and in a record.
 
-    `to_stored` gets the values at `paths`, in this order, and returns the stored value; it must return a new
-    object, or one that nothing else in the state holds. `from_stored` returns the values for `paths`.
+    `to_stored` is called with the values at `paths`, in this order, and returns the stored value, which must
+    be a new object or one that nothing else in the state holds. `from_stored` returns the values for `paths`.
     """
 
     paths: tuple[str, ...]
@@ -32,13 +32,13 @@
 
 
 def attribute_names(instance: object) -> set[str]:
-    """The names of all attributes of an object, whether it has slots or a dictionary."""
+    """Returns the names of all attributes of an object, in slots and in `__dict__`."""
     slots = {name for cls in type(instance).__mro__ for name in cls.__dict__.get("__slots__", ())}
     return slots.union(getattr(instance, "__dict__", ()))
 
 
 def _set_path(instance: object, path: str, value: object) -> None:
-    """Sets the attribute at a path, of a frozen dataclass too."""
+    """Sets the attribute at a path, even in a frozen dataclass."""
     owner, _, name = path.rpartition(".")
     object.__setattr__(attrgetter(owner)(instance) if owner else instance, name, value)
 
@@ -54,16 +54,14 @@
     Attributes:
         name: The name of the class in records.
         live_class: The class in memory.
-        fields: By stored name, in the order in which they are written: the path, or a conversion.
-        components: By path, the classes of the parts that an object consists of; an outer one before its
-            inner
-            ones. Components are no objects of the record: their attributes are fields of the stored class.
-        aliases: By path, the path that holds the same object: the second reference is not written, and is set
-            to the same object again when a state is read.
-        not_stored: By path, why an attribute is not written. An object may lack it.
-        after_restore: Called with an object once all its fields are set, to work out what is not stored.
-        ignores_private: Whether attributes named with a leading underscore are a subclass's own, and no
-        state.
+        fields: Paths or conversions by stored field name, in the order in which the fields are written.
+        components: Classes of the components of an object by path, each before the components inside it.
+            Components are not stored as objects: their attributes are fields of the stored class.
+        aliases: By path, another path that holds the same object. The alias is not written; it is set to the
+            same object again when a state is restored.
+        not_stored: Reasons why attributes are not written, by path. An object may lack these attributes.
+        after_restore: Called with an object once all its fields are set, to derive attributes not stored.
+        ignores_private: Whether attributes with a leading underscore belong to a subclass and are not state.
     """
 
     name: str
@@ -78,7 +76,7 @@
     _known_names: dict[str, set[str]] = field(init=False, repr=False)
 
     def __post_init__(self) -> None:
-        """Prepares the readers of fields, and the names that each part of an object may have."""
+        """Prepares the readers of the fields and the known attribute names of each component."""
         readers = [(name, self._reader(source)) for name, source in self.fields.items()]
         known: dict[str, set[str]] = {"": set(), **{path: set() for path in self.components}}
         for path in self._all_paths():
@@ -104,35 +102,37 @@
         yield from self.not_stored
 
     def unknown_attributes(self, instance: object) -> list[str]:
-        """Paths of attributes that this description does not know, sorted."""
+        """Returns the paths of attributes that are missing from this description, sorted."""
         unknown = []
         for owner, known in self._known_names.items():
-            part = attrgetter(owner)(instance) if owner else instance
-            unknown += [f"{owner}.{name}".lstrip(".") for name in attribute_names(part) - known]
+            component = attrgetter(owner)(instance) if owner else instance
+            unknown += [f"{owner}.{name}".lstrip(".") for name in attribute_names(component) - known]
         if self.ignores_private:
             unknown = [path for path in unknown if not path.startswith("_")]
         return sorted(unknown)
 
     def check(self, instance: object) -> None:
-        """Checks that writing an object would lose nothing.
+        """Checks that all attributes of an object can be written.
 
         Raises:
-            UnsupportedStateError: Some attribute is unknown or missing, or an alias holds another object.
+            UnsupportedStateError: An attribute is unknown or missing, or an alias holds another object.
         """
         try:
             unknown = self.unknown_attributes(instance)
             if unknown:
                 names = ", ".join(unknown)
-                raise UnsupportedStateError(f"a {self.name} has no place in a state for: {names}")
+                raise UnsupportedStateError(f"{self.name}: attributes missing from the state schema: {names}")
             for path, target in self.aliases.items():
                 if attrgetter(path)(instance) is not attrgetter(target)(instance):
                     reason = f"{path} of a {self.name} is not the object that {target} holds"
                     raise UnsupportedStateError(reason)
         except AttributeError as missing:
-            raise UnsupportedStateError(f"a {self.name} lacks an attribute: {missing}") from missing
+            raise UnsupportedStateError(
+                f"{self.name}: an attribute in the state schema does not exist: {missing}"
+            ) from missing
 
     def stored_values(self, instance: object) -> Iterator[tuple[str, Any]]:
-        """The stored names and values of an object's fields, in the order in which they are written.
+        """Yields the stored names and values of an object's fields, in the order in which they are written.
 
         Raises:
             UnsupportedStateError: The object lacks an attribute.
@@ -141,38 +141,40 @@
             try:
                 value = reader(instance)
             except AttributeError as missing:
-                raise UnsupportedStateError(f"a {self.name} lacks {name}: {missing}") from missing
+                raise UnsupportedStateError(
+                    f"{self.name}: the attribute of the stored field {name} does not exist: {missing}"
+                ) from missing
             yield name, value
 
     def new_instance(self) -> Any:
-        """An object with its components, but without any field set."""
+        """Creates an object with its components, but without any field set."""
         instance = object.__new__(self.live_class)
         for path, cls in self.components.items():
             _set_path(instance, path, object.__new__(cls))
         return instance
 
     def set_field(self, instance: object, name: str, value: object) -> None:
-        """Sets the attribute, or attributes, that a stored field holds."""
+        """Sets the attribute or attributes that a stored field holds."""
         source = self.fields[name]
         if isinstance(source, str):
             _set_path(instance, source, value)
             return
-        for path, part in zip(source.paths, source.from_stored(value), strict=True):
-            _set_path(instance, path, part)
+        for path, path_value in zip(source.paths, source.from_stored(value), strict=True):
+            _set_path(instance, path, path_value)
 
     def finish_restore(self, instance: object) -> None:
-        """Sets what follows from the stored fields, once all of them are set."""
+        """Sets aliases and derived attributes, once all stored fields are set."""
         for path, target in self.aliases.items():
             _set_path(instance, path, attrgetter(target)(instance))
         if self.after_restore is not None:
             self.after_restore(instance)
 
     def check_names(self, names: list[str]) -> None:
-        """Checks the names of the fields that a record holds of an object.
+        """Checks the names of the stored fields of an object.
 
         Raises:
-            ValueError: Some are missing or unknown.
+            ValueError: Names are missing or unknown.
         """
         differing = set(names) ^ self.fields.keys()
         if differing:
-            raise ValueError(f"fields differ: {', '.join(sorted(differing))}")
+            raise ValueError(f"{self.name}: missing or unknown stored fields: {', '.join(sorted(differing))}")
--- a/tests/test_record_events.py
+++ b/tests/test_record_events.py
@@ -1,4 +1,4 @@
-"""The events of a record and the pseudonyms in them keep the form in which 6128af4 stored them."""
+"""Tests that events and pseudonyms keep the stored form of commit 6128af4."""
 
 from pathlib import Path
 from typing import Any, get_args
@@ -11,7 +11,7 @@
 from calicofall.recording.replayer import events_of
 
 FIXTURES = Path(__file__).parent / "fixtures" / "stored_data"
-# What 6128af4 names the keys 7 and 2**63 + 5 and the tenants `acme` and `shöp` under the secret below.
+# Pseudonyms by 6128af4 of the keys 7 and 2**63 + 5 and the tenants `acme` and `shöp` under the secret below.
 KEY_7 = 255653549162687
 KEY_LARGE = 151720910395290
 TENANT_ACME = "td121fa52ac7d"
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("name", WHOLE_RECORDS)
 def test_encode_event_of_a_decoded_event_returns_the_stored_one(name: str) -> None:
-    """Every field is read, in its order, and written as it was."""
+    """Every field is decoded in its order and encoded unchanged."""
     _, rest = frames.open_record((FIXTURES / name).read_bytes())
 
     for stored in events_of(rest):
@@ -31,7 +31,7 @@
 
 
 def test_stored_kinds_cover_every_type_of_event_once() -> None:
-    """A type without a word of its own could be written, but not read."""
+    """Guards against a type without its own kind, which could be written but not read."""
     assert set(STORED_KINDS) == set(get_args(Event))
     assert {kind: event_type for event_type, kind in STORED_KINDS.items()} == EVENT_TYPES
     assert len(EVENT_TYPES) == len(STORED_KINDS)
@@ -40,21 +40,21 @@
 @pytest.mark.parametrize(
     ("stored", "message"),
     [
-        pytest.param(["dance", 1.0], "an event of the kind 'dance'", id="an unknown kind"),
-        pytest.param(["left", 1.0, "r1"], "'left' with 2 fields, expected 3", id="a field is missing"),
-        pytest.param(["left", 1.0, "r1", [], 0], "'left' with 4 fields, expected 3", id="a field too many"),
+        pytest.param(["dance", 1.0], "unknown event kind 'dance'", id="an unknown kind"),
+        pytest.param(["left", 1.0, "r1"], "'left' has 2 fields, expected 3", id="a field is missing"),
+        pytest.param(["left", 1.0, "r1", [], 0], "'left' has 4 fields, expected 3", id="a field too many"),
     ],
 )
 def test_decode_event_of_another_form_raises_value_error_that_names_the_kind(
     stored: list[Any], message: str
 ) -> None:
-    """A record of a version with other events is told from a damaged one."""
+    """The error distinguishes a record of a version with other events from a damaged one."""
     with pytest.raises(ValueError, match=message):
         decode_event(stored)
 
 
 def test_pseudonyms_under_one_secret_are_those_of_6128af4() -> None:
-    """Records of both versions of a proxy name the same key alike, and queries find it in both."""
+    """Both versions give a key the same pseudonym, so that queries find it in the records of both."""
     pseudonymizer = Pseudonymizer(b"a secret of ours")
 
     assert [pseudonymizer.key(key) for key in (7, 2**63 + 5, None)] == [KEY_7, KEY_LARGE, None]
@@ -62,7 +62,7 @@
 
 
 def test_pseudonymized_settings_rename_the_tenants_alone() -> None:
-    """The settings in a record are those that the router had, but for tenants' names."""
+    """The settings in a record are those of the router, except for the tenant names."""
     settings = {"tenants": [{"name": "acme", "quota": 5.0}], "proxies": 4}
 
     renamed = pseudonymized_settings(settings, Pseudonymizer(b"a secret of ours"))
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -1,4 +1,4 @@
-"""Records: the byte format, the recording router, segments, replay, the files and the commands."""
+"""Tests of records: byte format, recording router, segments, replay, files and commands."""
 
 import asyncio
 import json
@@ -39,7 +39,7 @@
 
 
 class RecordingInMemory(RecordingRouter):
-    """A router of a simulation whose record is kept in memory, a segment every two seconds."""
+    """A router of a simulation that keeps its record in memory, with a segment every two seconds."""
 
     made: list["RecordingInMemory"] = []
 
@@ -62,9 +62,9 @@
             "version": "0",
             "proxy": f"n{seed}",
         }
-        kept = None if isinstance(naming, NoPseudonyms) else naming
+        state_naming = None if isinstance(naming, NoPseudonyms) else naming
         self._segment_writer = SegmentWriter(
-            SETTINGS, head, lambda: state_codec.encode_state(self, kept), now / 1000.0
+            SETTINGS, head, lambda: state_codec.encode_state(self, state_naming), now / 1000.0
         )
         self._segments: list[bytes] = []
         super().__init__(deployment, seed, now, self._segment_writer.add_event, naming)
@@ -86,10 +86,10 @@
 def record_simulated_fleet(
     seed: int = 1, naming: Pseudonymizer | None = None, seconds: float = 9.0
 ) -> list[RecordingInMemory]:
-    """Records of four proxies before eight caches.
+    """Records a simulation of four proxies and eight caches.
 
-    There is a rolling deploy of half the caches and a jump of traffic at once, a cache that is slow, and a
-    proxy that is restarted.
+    Half of the caches are restarted one after the other (a rolling deploy) while the traffic jumps; one cache
+    is slow, and one proxy is restarted.
     """
     RecordingInMemory.made = []
     tenants = [{"name": "acme", "quota": 150.0}, {"name": "bulk", "quota": 10.0}]
@@ -130,35 +130,35 @@
     return [router for router in RecordingInMemory.made if router._segments]
 
 
-def replayer_of(data: bytes, **how: Any) -> tuple[Replayer, Any]:
+def replayer_of(data: bytes, **options: Any) -> tuple[Replayer, Any]:
     head, rest = frames.open_record(data)
-    return Replayer(head, state_codec.restore_state, **how), rest
+    return Replayer(head, state_codec.restore_state, **options), rest
 
 
 def test_replay_of_a_rolling_deploy_and_a_traffic_jump_makes_the_same_decisions() -> None:
-    """Every segment by itself: from the beginning, or from a state, with requests in flight too."""
+    """Each segment is replayed alone, from the beginning or from a state, also with requests in flight."""
     made = record_simulated_fleet()
     decisions = in_flight = 0
     for router in made:
         for data in router._segments:
             replayer, rest = replayer_of(data)
             in_flight += bool(replayer.requests)
-            replayer.play(rest)
+            replayer.replay(rest)
             decisions += replayer.decision_count
-    assert len(made) == 5  # one incarnation more than proxies
+    assert len(made) == 5  # one more incarnation than proxies
     assert sum(len(router._segments) for router in made) >= 16
     assert decisions > 3000
     assert in_flight >= 8
 
 
 def test_state_of_a_segment_equals_the_state_after_replay_of_the_one_before() -> None:
-    """A field that is left out of the state, or restored wrong, would differ."""
+    """Guards against a field that is missing from the state or restored incorrectly."""
     segments = record_simulated_fleet(3)[0]._segments
     for before, after in zip(segments, segments[1:], strict=False):
         replayer, rest = replayer_of(before)
-        replayer.play(rest)
+        replayer.replay(rest)
         other, _ = replayer_of(after)
-        # Rankings are kept where they were looked up, and follow from the rest.
+        # Rankings are cached on lookup and derived from the rest of the state.
         for router in (replayer.router, other.router):
             router.policy.placement.rankings.clear()
         assert state_codec.encode_state(replayer.router) == state_codec.encode_state(other.router)
@@ -179,12 +179,12 @@
         state_codec.encode_state(router)
     fields = dict(state["fields"])["policy"]["r"]
     state["table"][fields][1].pop()
-    with pytest.raises(ValueError, match="fields differ"):
+    with pytest.raises(ValueError, match="missing or unknown stored fields"):
         state_codec.restore_state(Router(deployment_settings(), 1, 0.0), state)
 
 
 def test_replay_under_other_hash_seeds_makes_the_same_decisions(tmp_path: Path) -> None:
-    """Recorded here, replayed in processes with other hash seeds: the order of sets does not matter."""
+    """Guards against decisions that depend on set order: the replays use different hash seeds."""
     file = tmp_path / "n.record"
     file.write_bytes(record_simulated_fleet(4)[1]._segments[1])
     for seed in ("1", "2", "77"):
@@ -230,7 +230,7 @@
 
 
 def readable_frames(data: bytes) -> tuple[int, str]:
-    """How many frames of events can be read, and what is wrong with the next one."""
+    """Returns the number of readable event frames, and the error of the next frame, if any."""
     _, rest = frames.open_record(data)
     count = 0
     try:
@@ -254,8 +254,8 @@
 
 def test_open_record_with_any_byte_changed_finds_the_damage() -> None:
     data = short_record()
-    for place in range(len(data)):
-        changed = data[:place] + bytes([data[place] ^ 0x41]) + data[place + 1 :]
+    for offset in range(len(data)):
+        changed = data[:offset] + bytes([data[offset] ^ 0x41]) + data[offset + 1 :]
         try:
             count, damage = readable_frames(changed)
         except frames.UnreadableRecordError:
@@ -277,14 +277,16 @@
     [
         pytest.param(b"", "empty", id="an empty file"),
         pytest.param(b"PK\x03\x04 something else\n", "not a record", id="another kind of file"),
-        pytest.param(b"calicofall-record 2\n", "form 2", id="another version"),
+        pytest.param(b"calicofall-record 2\n", "version is '2'", id="another version"),
         pytest.param(b"calicofall-snapshot 1 00\n{}", "not a record", id="a snapshot"),
         pytest.param(frames.file_header(), "no head", id="no frame"),
         pytest.param(
             frames.file_header() + frames.encode_frame(b"[]"), "no head", id="a head that is a list"
         ),
         pytest.param(
-            frames.file_header() + frames.encode_frame(b'{"a":1}'), "has no began", id="a head without fields"
+            frames.file_header() + frames.encode_frame(b'{"a":1}'),
+            "expected the field began in the head",
+            id="a head without fields",
         ),
     ],
 )
@@ -317,11 +319,11 @@
 
 def test_replay_of_malformed_events_prints_one_line(tmp_path: Path) -> None:
     head, rest = frames.open_record(record_simulated_fleet()[0]._segments[0])
-    begun = frames.file_header() + frames.encode_frame(frames.encode_json(head))
+    header_and_head = frames.file_header() + frames.encode_frame(frames.encode_json(head))
     unknown = ["pick", 1.0, "nobody", 2.0, None, None, 0.0, 0.0, []]
     for events in ([unknown], [["dance", 1.0]], [["pick"]], [7]):
         file = tmp_path / "n.record"
-        file.write_bytes(begun + frames.encode_frame(frames.encode_json(events)))
+        file.write_bytes(header_and_head + frames.encode_frame(frames.encode_json(events)))
         result = CliRunner().invoke(main, ["replay", str(file)])
         assert result.exit_code == 2
         assert "event" in result.output
@@ -350,7 +352,7 @@
             assert not seen & keys
             assert b"acme" not in content
             assert b"acme" not in frames.encode_json(frames.open_record(data)[0])
-            replayer.play(frames.open_record(data)[1])
+            replayer.replay(frames.open_record(data)[1])
             decisions += replayer.decision_count
     assert decisions > 3000
     assert len(keys) > 100
@@ -396,13 +398,13 @@
     writer.add_event(["a", 1.0])
     writer.next_steps(0.1, 1e9)
     writer.add_event(["b", 2.0])
-    assert types_of(writer.next_steps(0.2, 3.0)) == []  # the writer has no room
+    assert types_of(writer.next_steps(0.2, 3.0)) == []  # fewer bytes are available than needed
     writer.add_event(["c", 3.0])
     assert types_of(writer.next_steps(0.3, 3.0)) == [EndSegment]
     assert writer.events_dropped == 2
     writer.add_event(["d", 4.0])
     assert types_of(writer.next_steps(0.4, 1e9)) == [BeginSegment]
-    assert writer.events_dropped == 3  # the event is in the state
+    assert writer.events_dropped == 3  # the state includes the event
     writer.add_event(["e", 5.0])
     assert types_of(writer.next_steps(0.5, 1e9)) == [AppendFrame]
     assert writer.events_written == 2
@@ -448,7 +450,7 @@
 
 
 class RecordingHarness(ProxyHarness):
-    """A proxy that records, on a clock that tests move; the recorder's thread does not run."""
+    """A proxy that records, on a clock that the test advances; the recorder's thread does not run."""
 
     def __init__(self, folder: Path, **settings: Any) -> None:
         self.record_settings = {"folder": str(folder), "level": "proxy"} | settings
@@ -461,13 +463,13 @@
         return super().node_file(*args, **settings) | {"record": self.record_settings}
 
     def write(self) -> None:
-        """Does what the thread would do."""
+        """Performs the work of the thread."""
         self.recorder.job_added.set()
         self.recorder.closing = True
         self.recorder.run()
 
     def serve(self, count: int = 6) -> None:
-        """Serves requests, each answered by an endpoint."""
+        """Serves requests, each of which an endpoint answers."""
         client = self.client()
         for number in range(count):
             client.feed(encode_request("save" if number % 3 == 2 else "read", number))
@@ -493,7 +495,7 @@
     notes = [event[2] for event in events if event[0] == "note"]
     assert notes.count("command") == notes.count("answer") == 6
     assert head["level"] == "proxy"
-    assert b"fresh" not in frames.encode_json(events)  # no value
+    assert b"fresh" not in frames.encode_json(events)  # no cached value is recorded
     found = CliRunner().invoke(main, ["record", "query", str(file), "method=save"])
     assert found.exit_code == 0
     assert found.output.endswith("2 RPCs\n")
@@ -532,7 +534,7 @@
     tmp_path: Path,
 ) -> None:
     old, new = RecordingHarness(tmp_path, secret="one of the operators'"), RecordingHarness(tmp_path)
-    new.recorder.segment_writer.head["began"] -= 3600.0  # by the system's clock it came first
+    new.recorder.segment_writer.head["began"] -= 3600.0  # by the system clock, the new process started first
     new.recorder.system_clock = lambda: time.time() - 3600.0
     for number in range(2):
         for harness in (old, new):
@@ -576,18 +578,18 @@
     harness.serve()
     harness.write()
 
-    class Full:
-        """Takes half of what it is given, then nothing."""
+    class FullDiskFile:
+        """Accepts the first 20 bytes, then fails as a full disk does."""
 
         def __init__(self, path: Path) -> None:
-            self.file, self.left = path.open("r+b", buffering=0), 20
+            self.file, self.free_bytes = path.open("r+b", buffering=0), 20
             self.file.seek(0, 2)
 
         def write(self, data: bytes) -> int:
-            if not self.left:
+            if not self.free_bytes:
                 raise OSError(28, "No space left on device")
-            part, self.left = data[: self.left], 0
-            return self.file.write(part)
+            accepted, self.free_bytes = data[: self.free_bytes], 0
+            return self.file.write(accepted)
 
         def __getattr__(self, name: str) -> Any:
             return getattr(self.file, name)
@@ -595,7 +597,7 @@
     (file,) = tmp_path.glob("*.record")
     size = file.stat().st_size
     with pytest.raises(OSError, match="No space"):
-        harness.recorder.files.write(Full(file), b"x" * 100)
+        harness.recorder.files.write(FullDiskFile(file), b"x" * 100)
     assert file.stat().st_size == size
     assert CliRunner().invoke(main, ["replay", str(file)]).exit_code == 0
 
@@ -603,7 +605,7 @@
 def test_recorder_on_a_disk_that_hangs_does_not_block_the_loop_and_holds_bounded_bytes(
     tmp_path: Path,
 ) -> None:
-    """The thread does nothing at all, as on a disk that does not answer."""
+    """The thread performs no work, as if the disk did not respond."""
     harness = RecordingHarness(tmp_path)
     for _ in range(40):
         harness.recorder.note("command", key=7, tenant="acme", filler="x" * 300_000)
@@ -621,7 +623,7 @@
     recorder = Recorder(loop, settings, "n/1", "life", time.time)
     random_generator = Random(1)
     content = frames.encode_json([random_generator.random() for _ in range(60)])
-    (tmp_path / "n%2F1.x.other.life.000000.record").write_bytes(b"x" * 9000)  # another proxy's
+    (tmp_path / "n%2F1.x.other.life.000000.record").write_bytes(b"x" * 9000)  # a file of another proxy
     for _ in range(9):
         recorder.pending.extend([BeginSegment(content), AppendFrame(content), EndSegment()])
         recorder.job_added.set()
@@ -666,7 +668,7 @@
     (tmp_path / "bad.json").write_text("{")
     wrong = ["replay", str(tmp_path), "--with", str(tmp_path / "bad.json")]
     assert CliRunner().invoke(main, wrong).exit_code == 2
-    # A version of the program that admits nothing.
+    # A version of the program whose limit rejects all requests.
     version = tmp_path / "version"
     version.mkdir()
     subprocess.run(["cp", "-r", str(ROOT / "calicofall"), str(version)], check=True)
@@ -684,8 +686,8 @@
     assert CliRunner().invoke(main, ["replay", str(tmp_path), "--with", str(tmp_path)]).exit_code == 2
 
 
-# A stand-in for a version whose router is `facade.py`: it has its own replayer, and loads none of this
-# version's modules.
+# Represents a version whose router is in `facade.py`: it has its own replayer, and loads no modules of this
+# version.
 EARLIER_VERSION = {
     "__init__.py": "",
     "facade.py": "",
@@ -705,7 +707,7 @@
 
 
 def write_version(folder: Path, files: dict[str, str]) -> Path:
-    """Writes the package of a version of the program."""
+    """Writes the package of a version of the program and returns the folder."""
     for name, content in files.items():
         file = folder / "calicofall" / name
         file.parent.mkdir(parents=True, exist_ok=True)
@@ -714,13 +716,13 @@
 
 
 def replay_with(version: Path, *records: Path) -> subprocess.CompletedProcess[str]:
-    """Runs `replay --with` in a process, as a replay to another version prints from a process of its own."""
+    """Runs `replay --with` in a process, as a replay with another version prints from its own process."""
     command = [sys.executable, "-m", "calicofall", "replay", *map(str, records), "--with", str(version)]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
 
 
 def test_replay_with_an_earlier_version_runs_its_own_replayer_on_the_records(tmp_path: Path) -> None:
-    """Versions whose router is `facade.py` have other names: this version's replayer cannot drive them."""
+    """This version's replayer cannot drive versions with `facade.py`, whose router has other names."""
     version = write_version(tmp_path / "earlier", EARLIER_VERSION)
     segments = record_simulated_fleet(seconds=5.0)[0]._segments[:2]
     files = [tmp_path / f"n.{number}.record" for number in range(len(segments))]
@@ -738,7 +740,7 @@
 
 
 def test_replay_with_an_earlier_version_without_a_replayer_says_that_it_is_too_old(tmp_path: Path) -> None:
-    """Versions before records were replayed have a router, but nothing to replay with."""
+    """Versions from before replay existed have a router, but no replayer."""
     files = {name: content for name, content in EARLIER_VERSION.items() if "__main__" not in name}
     version = write_version(tmp_path / "earlier", files)
     file = tmp_path / "n.record"
@@ -755,9 +757,10 @@
 
 @pytest.mark.xdist_group(PROCESS_GROUPS[0])
 def test_records_of_processes_with_faults_between_them_replay_to_the_same_decisions(tmp_path: Path) -> None:
-    """Six proxies that record, with a network cut, a stop, a restart, a slow cache and a drain.
+    """Six proxies record during a network cut, a stop, a restart, a slow cache and a drain.
 
-    It is a small one of what `stage walk --record --count 10` does. Then the record is a scenario's traffic.
+    This is a small version of `stage walk --record --count 10`. Afterwards, a record is used as the traffic
+    of a scenario.
     """
     plan = {
         "name": "recorded",
@@ -781,7 +784,7 @@
         files = [*(tmp_path / "out" / f"p{number}" / "record").glob("*.record")]
         assert len(files) >= (2 if number == 1 else 1)  # two incarnations
         result = CliRunner().invoke(main, ["replay", *map(str, files)])
-        # A process that is killed leaves a part of the frame that it was writing; the rest is replayed.
+        # A killed process leaves an incomplete last frame; the frames before it are replayed.
         assert result.exit_code in (0, 3), result.output
         decisions += int(result.output.splitlines()[-1].split()[0])
     assert decisions > 500
@@ -810,7 +813,7 @@
 
 
 def test_recorder_closed_on_a_real_loop_has_written_its_record(tmp_path: Path) -> None:
-    """The thread itself, on a real loop."""
+    """Runs the recorder's thread on a real event loop."""
 
     async def run() -> Recorder:
         loop = asyncio.get_running_loop()
--- a/tests/test_state_schema.py
+++ b/tests/test_state_schema.py
@@ -1,4 +1,4 @@
-"""The schema of stored state: it covers every attribute, and holds the field names that records have."""
+"""Tests that the schema of stored state covers every attribute and keeps the field names of records."""
 
 import json
 import zlib
@@ -33,7 +33,7 @@
 
 
 def stored_states() -> Iterator[dict[str, Any]]:
-    """The states at the beginning of the records that 6128af4 wrote."""
+    """Yields the initial states of the records that commit 6128af4 wrote."""
     for path in sorted(FIXTURES.glob("*/*.record")):
         data = path.read_bytes()
         body = data.index(b"\n") + 1 + frames.FRAME_HEADER_BYTES
@@ -43,7 +43,7 @@
 
 
 def stored_names() -> dict[str, set[tuple[str, ...]]]:
-    """By stored class, the sequences of field names that the stored states hold."""
+    """Returns the sequences of field names in the stored states, by stored class."""
     found: dict[str, set[tuple[str, ...]]] = {}
     for state in stored_states():
         found.setdefault("Router", set()).add(tuple(name for name, _ in state["fields"]))
@@ -54,7 +54,7 @@
 
 
 def live_router() -> Router:
-    """A router with an endpoint and a request in flight."""
+    """Returns a router with one endpoint and one request in flight."""
     router = Router(deployment_settings(proxies=4), 7, 0.0)
     router.on_endpoint_list(0.0, "full", 1, [("c1", "a", "box", 0, "ready", 1.0, 0.0)])
     router.route(15_000.0, Request("r1", "read", None, 7, False, 15_000.0, 15_900.0))
@@ -62,7 +62,7 @@
 
 
 def live_objects(instance: Any, found: dict[int, Any]) -> dict[int, Any]:
-    """All objects of stored classes that can be reached by attributes and containers, by id()."""
+    """Collects the project's objects that are reachable through attributes and containers, by id()."""
     if isinstance(instance, dict):
         for pair in instance.items():
             live_objects(pair, found)
@@ -77,14 +77,14 @@
 
 
 def test_schema_of_every_class_names_the_fields_of_6128af4_in_their_order() -> None:
-    """The order of the fields is part of the format: records of one state are equal byte by byte."""
+    """The order of the fields is part of the format: equal states give identical bytes."""
     schema = {stored.name: {tuple(stored.fields)} for stored in (ROUTER, *STORED_CLASSES)}
 
     assert schema == stored_names()
 
 
 def test_schema_covers_every_attribute_of_live_objects() -> None:
-    """Every attribute, of components too, is stored or is listed with the reason why it is not."""
+    """Every attribute, including those of components, is stored or listed with the reason why it is not."""
     router = live_router()
     objects = [instance for instance in live_objects(router, {}).values() if type(instance) in BY_LIVE_CLASS]
 
@@ -98,7 +98,7 @@
 
 
 def test_schema_names_only_attributes_that_exist() -> None:
-    """A path that leads nowhere would be found only when a proxy writes its state."""
+    """Guards against a path to a missing attribute, which would fail only when a proxy writes its state."""
     objects = live_objects(live_router(), {}).values()
     by_class = {type(instance): instance for instance in objects}
 
@@ -108,18 +108,18 @@
 
 
 def test_pseudonymized_fields_are_fields_of_the_schema() -> None:
-    """A misspelt entry would let keys or tenants' names into a record."""
+    """Guards against a misspelt entry, which would write real keys or tenant names to a record."""
     for stored_class, name in PSEUDONYMIZED:
         assert name in BY_STORED_NAME[stored_class].fields
 
 
 @pytest.mark.parametrize("stored", STORED_CLASSES, ids=lambda stored: stored.name)
 def test_encode_state_with_an_unknown_attribute_raises_unsupported_state_error(stored: StoredClass) -> None:
-    """An attribute that the schema does not know is an error, whatever its value is."""
+    """An attribute that is missing from the schema is an error, whatever its value."""
     objects = live_objects(live_router(), {}).values()
     instance = next(instance for instance in objects if type(instance) is stored.live_class)
 
-    class Extended(stored.live_class):  # type: ignore[name-defined, misc]  # a class of the parameter
+    class Extended(stored.live_class):  # type: ignore[name-defined, misc]  # the base class is a parameter
         pass
 
     extended = object.__new__(Extended)
@@ -132,7 +132,7 @@
 
 
 def test_encode_state_of_a_router_with_an_unknown_attribute_raises_unsupported_state_error() -> None:
-    """The router's own attributes are covered as those of its policy."""
+    """The router's own attributes are checked like those of its policy."""
     router = live_router()
     router.added_later = 1  # type: ignore[attr-defined]  # the fault that is tested
 
@@ -141,16 +141,18 @@
 
 
 def test_encode_state_without_a_known_attribute_raises_unsupported_state_error() -> None:
-    """An attribute that was renamed, but not in the schema, is named."""
+    """The error names the field of an attribute that was renamed in the class, but not in the schema."""
     router = live_router()
     del router.policy.retries.budget.extra_attempts
 
-    with pytest.raises(UnsupportedStateError, match="a Budget lacks spent"):
+    with pytest.raises(
+        UnsupportedStateError, match="Budget: the attribute of the stored field spent does not exist"
+    ):
         encode_state(router)
 
 
 def test_restore_state_restores_an_object_held_by_two_fields_as_one() -> None:
-    """Endpoints stand in the table of endpoints and among the usable ones; requests wait and are in hand."""
+    """An endpoint is both in the endpoint table and among the usable ones; it is restored as one object."""
     router = Router(deployment_settings(), 1, 0.0)
 
     restore_state(router, json.loads(frames.encode_json(encode_state(live_router()))))
@@ -159,7 +161,7 @@
     assert type(router.active_requests["r1"].attempts[0]) is Attempt
 
 
-# Classes of several components
+# Classes with several components
 
 
 class Ramp:
@@ -179,7 +181,7 @@
 
 
 class Device:
-    """An object of two components, one of them with a reference to what the other holds."""
+    """An object with two components and an attribute that refers to an object of one of them."""
 
     def __init__(self) -> None:
         self.name = "d1"
@@ -190,7 +192,7 @@
 
 
 def set_width(device: Device) -> None:
-    """Works out what is not stored."""
+    """Derives the attribute that is not stored."""
     device.width = device.bounds.highest - device.bounds.lowest
 
 
@@ -215,7 +217,7 @@
 
 
 def test_stored_class_with_components_writes_fields_by_their_paths() -> None:
-    """A class can be split without a change of what is stored."""
+    """A class can be split into components without a change of the stored form."""
     device = Device()
 
     DEVICE.check(device)
@@ -229,7 +231,7 @@
 
 
 def test_stored_class_with_components_restores_fields_aliases_and_what_follows() -> None:
-    """Components are made empty; frozen ones are filled too, and a shared object is one again."""
+    """Components are created empty, also frozen ones; a shared object is restored as one."""
     device = DEVICE.new_instance()
     for name, value in {"title": "d2", "ramp_ms": 50.0, "limits": [2.0, 5.0], "since": {"a": 1.0}}.items():
         DEVICE.set_field(device, name, value)
@@ -242,7 +244,7 @@
 
 
 def test_stored_class_check_with_an_unknown_attribute_of_a_component_raises() -> None:
-    """Components are covered like the object itself."""
+    """Attributes of components are checked like those of the object itself."""
     device = Device()
     device.ramp.later = 1  # type: ignore[attr-defined]  # the fault that is tested
 
@@ -251,7 +253,7 @@
 
 
 def test_stored_class_check_with_an_alias_of_another_object_raises() -> None:
-    """The second reference is not written, so that a different object there would be lost."""
+    """An alias is not written, so a different object there would be lost."""
     device = Device()
     device.started = {}
 
@@ -267,6 +269,6 @@
     ],
 )
 def test_stored_class_check_names_of_another_version_raises_value_error(names: list[str]) -> None:
-    """A state of a version with other fields is told from a damaged one."""
-    with pytest.raises(ValueError, match="fields differ: (since|more)"):
+    """The error distinguishes a state of a version with other fields from a damaged one."""
+    with pytest.raises(ValueError, match="missing or unknown stored fields: (since|more)"):
         DEVICE.check_names(names)
