--- a/calicofall/recording/events.py
+++ b/calicofall/recording/events.py
@@ -11,7 +11,7 @@
 
 
 class EndpointListReceived(NamedTuple):
-    """The discovery service sent an endpoint list or a change of it, or the watch of the list failed."""
+    """The router received a list; `kind` is `full`, `delta`, `cached` or `failed` (no list arrived)."""
 
     at_ms: float
     kind: str
@@ -28,7 +28,7 @@
 
 
 class RequestReceived(NamedTuple):
-    """A request became active; precedes its first `RequestRouted`."""
+    """The router received a request; this event precedes its first `RequestRouted`."""
 
     at_ms: float
     request_id: str
--- a/calicofall/recording/replayer.py
+++ b/calicofall/recording/replayer.py
@@ -31,7 +31,7 @@
 
     def __init__(self) -> None:
         self._times: deque[float] = deque()
-        self.demand = self  # `add` of the unmet demand, which a replay does not count
+        self.demand = self  # replaces the counter of unmet demand: `add` is ignored in a replay
 
     def set_times(self, times: Iterable[float]) -> None:
         """Sets the times that the next calls return (s)."""
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -41,7 +41,7 @@
 class RecordingInMemory(RecordingRouter):
     """A router of a simulation that keeps its record in memory, with a segment every two seconds."""
 
-    made: list["RecordingInMemory"] = []
+    instances: list["RecordingInMemory"] = []
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         )
         self._segments: list[bytes] = []
         super().__init__(deployment, seed, now, self._segment_writer.add_event, naming)
-        RecordingInMemory.made.append(self)
+        RecordingInMemory.instances.append(self)
 
     def tick(self, now: float) -> float:
         wait = super().tick(now)
@@ -91,7 +91,7 @@
     Half of the caches are restarted one after the other (a rolling deploy) while the traffic jumps; one cache
     is slow, and one proxy is restarted.
     """
-    RecordingInMemory.made = []
+    RecordingInMemory.instances = []
     tenants = [{"name": "acme", "quota": 150.0}, {"name": "bulk", "quota": 10.0}]
     caches = [
         CacheModel(OriginModel(6, 0.03), 2, 6, 64, 0.002, 0.01, 300, 0.2, 3.0, 3.0, 1.0) for _ in range(8)
@@ -125,9 +125,9 @@
     simulation.at(3000.0, lambda: setattr(caches[6], "slow", 12.0))
     simulation.at(5000.0, simulation.renew, random_generator.randrange(4))
     simulation.run(seconds * 1000.0)
-    for router in RecordingInMemory.made:
+    for router in RecordingInMemory.instances:
         router.write_segments(simulation.now)
-    return [router for router in RecordingInMemory.made if router._segments]
+    return [router for router in RecordingInMemory.instances if router._segments]
 
 
 def replayer_of(data: bytes, **options: Any) -> tuple[Replayer, Any]:
@@ -137,16 +137,16 @@
 
 def test_replay_of_a_rolling_deploy_and_a_traffic_jump_makes_the_same_decisions() -> None:
     """Each segment is replayed alone, from the beginning or from a state, also with requests in flight."""
-    made = record_simulated_fleet()
+    routers = record_simulated_fleet()
     decisions = in_flight = 0
-    for router in made:
+    for router in routers:
         for data in router._segments:
             replayer, rest = replayer_of(data)
             in_flight += bool(replayer.requests)
             replayer.replay(rest)
             decisions += replayer.decision_count
-    assert len(made) == 5  # one more incarnation than proxies
-    assert sum(len(router._segments) for router in made) >= 16
+    assert len(routers) == 5  # one more incarnation than proxies
+    assert sum(len(router._segments) for router in routers) >= 16
     assert decisions > 3000
     assert in_flight >= 8
 
@@ -334,7 +334,7 @@
 
 
 def test_record_with_a_secret_holds_no_key_or_tenant_and_replays_to_the_same_decisions() -> None:
-    made = record_simulated_fleet(2, Pseudonymizer(SECRET))
+    routers = record_simulated_fleet(2, Pseudonymizer(SECRET))
     without_pseudonyms = record_simulated_fleet(2)
     decisions = 0
     keys = {
@@ -344,7 +344,7 @@
         for event in events_of(frames.open_record(data)[1])
         if event[0] == "rpc"
     }
-    for router in made:
+    for router in routers:
         for data in router._segments:
             replayer, rest = replayer_of(data)
             content = frames.encode_json([*rest])
@@ -496,15 +496,17 @@
     assert notes.count("command") == notes.count("answer") == 6
     assert head["level"] == "proxy"
     assert b"fresh" not in frames.encode_json(events)  # no cached value is recorded
-    found = CliRunner().invoke(main, ["record", "query", str(file), "method=save"])
-    assert found.exit_code == 0
-    assert found.output.endswith("2 RPCs\n")
-    assert "completed" in found.output
+    query_result = CliRunner().invoke(main, ["record", "query", str(file), "method=save"])
+    assert query_result.exit_code == 0
+    assert query_result.output.endswith("2 RPCs\n")
+    assert "completed" in query_result.output
     assert CliRunner().invoke(main, ["record", "query", str(file), "colour=red"]).exit_code == 2
-    shown = CliRunner().invoke(main, ["record", "table", str(tmp_path), "--chart", str(tmp_path / "a.png")])
-    assert shown.exit_code == 0, shown.output
-    assert (tmp_path / "a.png").stat().st_size > 1000, shown.output
-    assert [line.split()[1] for line in shown.output.splitlines()[1:2]] == ["6"]
+    table_result = CliRunner().invoke(
+        main, ["record", "table", str(tmp_path), "--chart", str(tmp_path / "a.png")]
+    )
+    assert table_result.exit_code == 0, table_result.output
+    assert (tmp_path / "a.png").stat().st_size > 1000, table_result.output
+    assert [line.split()[1] for line in table_result.output.splitlines()[1:2]] == ["6"]
 
 
 def test_proxy_without_record_settings_has_a_plain_router() -> None:
@@ -762,7 +764,7 @@
     This is a small version of `stage walk --record --count 10`. Afterwards, a record is used as the traffic
     of a scenario.
     """
-    plan = {
+    scenario_settings = {
         "name": "recorded",
         "seconds": 9.0,
         "fleet": {"proxies": 6, "caches": 5, "record": True},
@@ -776,7 +778,7 @@
             {"at": 5.0, "do": "drain", "who": "c3"},
         ],
     }
-    verdict, _ = run_scenario(scenario.parse_scenario(plan, "recorded"), tmp_path / "out")
+    verdict, _ = run_scenario(scenario.parse_scenario(scenario_settings, "recorded"), tmp_path / "out")
     assert not verdict.void, (verdict.void, verdict.findings[:5])
     assert not verdict.findings, (verdict.void, verdict.findings[:5])
     decisions = 0
@@ -791,11 +793,15 @@
     traffic = tmp_path / "traffic.json"
     command = ["record", "traffic", str(tmp_path / "out" / "p0" / "record"), str(traffic)]
     assert CliRunner().invoke(main, command).exit_code == 0
-    again = scenario.parse_scenario(plan | {"traffic": {"record": str(traffic)}}, "again")
-    drawn = Draw(again).rpcs
-    assert len(drawn) > 20
-    assert {method for _, method, *_ in drawn} >= {"read", "save"}
-    assert [key for *_, key, _ in drawn] == [row[2] for row in json.loads(traffic.read_bytes())][: len(drawn)]
+    replayed_scenario = scenario.parse_scenario(
+        scenario_settings | {"traffic": {"record": str(traffic)}}, "again"
+    )
+    drawn_requests = Draw(replayed_scenario).rpcs
+    assert len(drawn_requests) > 20
+    assert {method for _, method, *_ in drawn_requests} >= {"read", "save"}
+    assert [key for *_, key, _ in drawn_requests] == [row[2] for row in json.loads(traffic.read_bytes())][
+        : len(drawn_requests)
+    ]
 
 
 def test_record_of_a_request_at_its_length_limit_holds_no_value(tmp_path: Path) -> None:
