--- a/calicofall/cli/testbed.py
+++ b/calicofall/cli/testbed.py
@@ -80,9 +80,13 @@
 @click.option(
     "--untold",
     is_flag=True,
-    help="Proxies are not configured with the capacities of the service and the caches.",
+    help="Proxies get no capacities of service and caches, use no snapshot and do not communicate.",
+)
+@click.option(
+    "--apart",
+    is_flag=True,
+    help="Proxies lend each other no shares of limits and exchange no evidence on caches.",
 )
-@click.option("--apart", is_flag=True, help="Proxies lend no quotas to each other and exchange no evidence.")
 @click.option(
     "--account", is_flag=True, help="Break down the loss by cause, from the proxies' logs at DEBUG."
 )
--- a/calicofall/recording/record_settings.py
+++ b/calicofall/recording/record_settings.py
@@ -111,7 +111,8 @@
         _check_number(CONFIGURATION_NAMES[name], values[name])
     if values["keep_mb"] < 2 * values["segment_mb"]:
         raise RecordSettingsError(
-            "record.keepMB: expected at least the size of two segments of record.segmentMB"
+            f"record.keepMB: expected at least two segments of record.segmentMB, "
+            f"{2 * values['segment_mb']:g} MB, found {values['keep_mb']:g}"
         )
     _check_secret(values["secret"])
     return RecordSettings(**values | {"level": RecordLevel(values["level"])})
