--- a/calicofall/recording/events.py
+++ b/calicofall/recording/events.py
@@ -4,7 +4,8 @@
 which they are declared. The names of the kinds and the order of the fields are part of the format. The names
 of the types and fields are not stored and can change.
 
-`at_ms` is the time of the call on the router's clock (ms); it is 0 for calls that have no time.
+`at_ms` is the time of the call on the router's clock (ms); it is 0 for calls that have no time. In a
+`ProxyNote` it is the time on the system clock (ms).
 """
 
 from typing import Any, NamedTuple
