--- a/calicofall/simulator_adapter/host.py
+++ b/calicofall/simulator_adapter/host.py
@@ -124,7 +124,10 @@
     def on_response_started(
         self, now: float, request_id: str, _attempt: int, _endpoint: str, _took_ns: int
     ) -> None:
-        """Handles the first bytes of an answer, which the simulator forwards to the client."""
+        """Handles the first bytes of an answer, which the simulator forwards to the client.
+
+        Unlike with `Router.on_response_started`, the attempt counts as in flight until it ends.
+        """
         request = self.router.active_requests.get(request_id)
         if request is not None:
             request.streaming = True
