--- a/calicofall/cli/testbed.py
+++ b/calicofall/cli/testbed.py
@@ -107,14 +107,14 @@
             scenario,
             folder,
             program and str(Path(program).resolve()),
-            told=lambda line: None if quiet else click.echo(line, err=True),
+            progress=lambda line: None if quiet else click.echo(line, err=True),
         )
     except KeyboardInterrupt:
         raise Stop("stopped: all that was started has ended") from None
     testbed.report.keep(folder, scenario, verdict, history)
     testbed.report.table(testbed.report.load([str(folder)]))
-    click.echo(f"{scenario.name}: {verdict.word}; {folder}")
-    if verdict.void:
+    click.echo(f"{scenario.name}: {verdict.outcome}; {folder}")
+    if verdict.void_reason:
         sys.exit(VOID)
     sys.exit(PASSED if verdict.passed else BROKEN)
 
@@ -131,7 +131,7 @@
             data["seed"] = seed
         data["fleet"] |= fleet
         return scenarios.parse_scenario(data, file)
-    except scenarios.InvalidScenario as error:
+    except scenarios.InvalidScenarioError as error:
         raise Stop(str(error)) from error
 
 
@@ -199,11 +199,11 @@
         verdict, history = self.testbed.run_scenario(scenario, folder)
         self.testbed.report.keep(folder, scenario, verdict, history)
         rules = {finding.rule for finding in verdict.findings}
-        click.echo(f"{scenario.name}: {verdict.word} {verdict.void}{', '.join(sorted(rules))}")
-        self.void += bool(verdict.void)
+        click.echo(f"{scenario.name}: {verdict.outcome} {verdict.void_reason}{', '.join(sorted(rules))}")
+        self.void += bool(verdict.void_reason)
         if self.record:
             self.replayed += replay_records(folder)
-        if versions and not verdict.void:
+        if versions and not verdict.void_reason:
             self.longest_s = max(self.longest_s, verdict.figures["forbidden_longest_s"])
             self.orders += verdict.figures["orders_judged"]
             self.bound_s = scenario.must.settled_s or 0.0
--- a/calicofall/testbed/checker.py
+++ b/calicofall/testbed/checker.py
@@ -35,16 +35,16 @@
 
 class Verdict(NamedTuple):
     passed: bool
-    void: str  # why nothing can be told; empty: it can
+    void_reason: str  # why nothing can be told; empty: it can
     findings: list[Finding]
     figures: dict[str, Any]
 
     @property
-    def word(self) -> str:
-        return "void" if self.void else "passed" if self.passed else "broken"
+    def outcome(self) -> str:
+        return "void" if self.void_reason else "passed" if self.passed else "broken"
 
 
-def most_in_span(times: Iterable[float], span: float = 1.0) -> tuple[int, float]:
+def max_count_in_window(times: Iterable[float], span: float = 1.0) -> tuple[int, float]:
     """The most in any span, and when it began."""
     held: list[float] = []
     most, when, first = 0, 0.0, 0
@@ -57,7 +57,7 @@
     return most, when
 
 
-def most_held(begins: list[float], ends: list[float]) -> tuple[int, float]:
+def max_concurrent(begins: list[float], ends: list[float]) -> tuple[int, float]:
     """The most at one time, and when."""
     steps = sorted([(at, 1) for at in begins] + [(at, -1) for at in ends])
     most, count, when = 0, 0, 0.0
@@ -74,9 +74,9 @@
         self.findings: list[Finding] = []
         self.figures: dict[str, Any] = {}
         # Up to that, SLACK has room for it.
-        self.lag = max([lag for _, lag in records.lags if lag > SLACK], default=0.0)
-        first = min([attempt.at for attempt in records.tries], default=float("inf"))
-        self.waited = max([part for at, part in records.waits if at - 1.0 > first], default=0.0)
+        self.lag = max([lag for _, lag in records.testbed_lags if lag > SLACK], default=0.0)
+        first = min([attempt.at for attempt in records.client_attempts], default=float("inf"))
+        self.waited = max([part for at, part in records.core_waits if at - 1.0 > first], default=0.0)
         # What the machine made late is nobody's: the stage's own lateness, proxies' wait for a core.
         self.slack = SLACK + self.lag + self.waited
         # By proxy: spans in which it could not act, for it was dead or stopped.
@@ -91,20 +91,21 @@
             self.away[proxy].append((at, float("inf")))
 
     def say(self, rule: str, proxy: str, at: float, what: str) -> None:
-        self.findings.append(Finding(rule, proxy, round(at - self.records.began, 3), what))
+        self.findings.append(Finding(rule, proxy, round(at - self.records.started_at, 3), what))
 
     def late(self, begin: float, end: float) -> float:
         """What is nobody's of the time between two moments (s): all that proxies waited for a core meanwhile.
 
         Guards against blaming proxies that answer while others start, before the span that is judged whole.
         """
-        waited = sum(part for at, part in self.records.waits if at > begin and at - 1.0 < end)
+        waited = sum(part for at, part in self.records.core_waits if at > begin and at - 1.0 < end)
         return max(self.slack, SLACK + self.lag + waited)
 
     def behind(self, begin: float, end: float) -> float:
         """How late the stage itself was in what it saw between two moments (s), at most."""
         return max(
-            (lag for at, lag in self.records.lags if at >= begin and at - lag - CROSS <= end), default=0.0
+            (lag for at, lag in self.records.testbed_lags if at >= begin and at - lag - CROSS <= end),
+            default=0.0,
         )
 
     def gone(self, proxy: str, begin: float, end: float) -> bool:
@@ -129,9 +130,9 @@
         self.figures |= {
             "lag_s": round(self.lag, 3),
             "waited_for_core": round(self.waited, 3),
-            "faults": [what for *_, what in self.records.faults],
-            "sends": len(self.records.sends),
-            "answers": len(self.records.answers),
+            "faults": [what for *_, what in self.records.injected_faults],
+            "sends": len(self.records.upstream_sends),
+            "answers": len(self.records.client_answers),
         }
         self.costs()
         void = ""
@@ -139,7 +140,7 @@
             void = f"the stage was late by {self.lag:.2f} s"
         elif self.waited > WAITED:
             void = f"a proxy waited {self.waited:.2f} s of a second for a core"
-        elif not self.records.answers and not self.scenario.must.served:
+        elif not self.records.client_answers and not self.scenario.must.served:
             void = "no answer was judged"
         return Verdict(
             not self.findings and not void, void, sorted(self.findings, key=lambda f: f.at), self.figures
@@ -149,22 +150,22 @@
 
     def one_answer(self) -> None:
         answers: dict[str, list] = defaultdict(list)
-        for answer in self.records.answers:
+        for answer in self.records.client_answers:
             if answer.id:
                 answers[answer.id].append(answer)
             else:
                 self.say("one answer", answer.proxy, answer.at, "an answer where none was owed")
         until, judged, exempt = {}, 0, 0
-        sent = {send.id for send in self.records.sends}
-        for attempt in self.records.tries:
-            until[attempt.id] = attempt.at + attempt.hard
+        sent = {send.id for send in self.records.upstream_sends}
+        for attempt in self.records.client_attempts:
+            until[attempt.id] = attempt.at + attempt.deadline_s
             got = answers.get(attempt.id, [])
-            last = got[0].at if got else attempt.at + attempt.hard + SLACK
+            last = got[0].at if got else attempt.at + attempt.deadline_s + SLACK
             if self.gone(attempt.proxy, attempt.at - SLACK, last):
                 exempt += 1
                 continue
             slack = self.late(attempt.at, last)
-            if attempt.at + attempt.hard + slack > self.records.ended:
+            if attempt.at + attempt.deadline_s + slack > self.records.ended_at:
                 continue
             judged += 1
             if not got or got[0].kind == "none":
@@ -177,7 +178,7 @@
                 self.say("one answer", attempt.proxy, got[0].at, f"{attempt.id}: answered late")
             if len(got) > 1:
                 self.say("one answer", attempt.proxy, got[1].at, f"{attempt.id}: answered twice")
-        for send in self.records.sends:
+        for send in self.records.upstream_sends:
             if send.id not in until:
                 self.say("one answer", send.proxy, send.at, f"{send.id}: sent, though no client asked")
             elif send.at > until[send.id] + self.late(until[send.id], send.at) and not self.gone(
@@ -189,21 +190,21 @@
     def effects(self) -> None:
         runs: dict[str, list] = defaultdict(list)
         marks: dict[str, list] = defaultdict(list)
-        for run in self.records.runs:
+        for run in self.records.executions:
             runs[run.id].append(run)
-            if run.mark:
-                marks[run.mark].append(run)
+            if run.idempotency_key:
+                marks[run.idempotency_key].append(run)
         sends: dict[str, list[tuple[UpstreamSend, float]]] = defaultdict(list)
-        for place, send in enumerate(self.records.sends):
-            sends[send.id].append((send, self.records.outs.get(place, self.records.ended)))
-        proxy = {send.id: send.proxy for send in self.records.sends}
+        for place, send in enumerate(self.records.upstream_sends):
+            sends[send.id].append((send, self.records.send_ended_at.get(place, self.records.ended_at)))
+        proxy = {send.id: send.proxy for send in self.records.upstream_sends}
         for name, ran in runs.items():
             if ran[0].method == "order" and len(ran) > 1:
                 self.say("effects", proxy[name], ran[1].at, f"{name}: non-retriable, ran {len(ran)} times")
         for mark, ran in marks.items():
             if max(run.at for run in ran) - min(run.at for run in ran) > WINDOW + self.slack:
                 self.say("effects", proxy[ran[0].id], ran[-1].at, f"{mark}: ran again after its window")
-        for answer in self.records.answers:
+        for answer in self.records.client_answers:
             ran = runs.get(answer.id)
             if ran and answer.kind == "exhausted" and ran[0].method == "order":
                 self.say("effects", answer.proxy, answer.at, f"{answer.id}: exhausted, though it ran")
@@ -216,8 +217,8 @@
     def drains(self) -> None:
         """Nothing new to a cache past the grace after its proxy was told that it drains or is gone."""
         states: dict[str, dict[str, tuple[float, bool]]] = defaultdict(dict)
-        steps: list[tuple[float, int, Any]] = [(told.at, 0, told) for told in self.records.told]
-        steps += [(send.at, 1, send) for send in self.records.sends]
+        steps: list[tuple[float, int, Any]] = [(told.at, 0, told) for told in self.records.list_events]
+        steps += [(send.at, 1, send) for send in self.records.upstream_sends]
         steps += [
             (process_event.at, -1, process_event)
             for process_event in self.records.process_events
@@ -229,7 +230,7 @@
             if kind == -1:
                 known.clear()
             elif kind == 0:
-                if what.whole:
+                if what.complete:
                     listed = {name for name, _ in what.entries}
                     for name in known.keys() - listed:
                         known[name] = (known[name][0], True) if known[name][1] else (at, True)
@@ -251,7 +252,7 @@
     def spread(self) -> None:
         """How long it took from the first proxy to the last until each was told of a drain."""
         first: dict[str, dict[str, float]] = defaultdict(dict)
-        for told in sorted(self.records.told):
+        for told in sorted(self.records.list_events):
             for name, state in told.entries:
                 if state == "DRAINING":
                     first[name].setdefault(told.proxy, told.at)
@@ -263,7 +264,7 @@
                 if at < float("inf"):
                     longest = max(longest, at - begin)
                 due = begin + bound + self.lag if bound is not None else float("inf")
-                if at > due and due < self.records.ended:
+                if at > due and due < self.records.ended_at:
                     self.say("told", proxy, begin + bound, f"not told yet that {name} drains")
         self.figures["drain_told_all_s"] = round(longest, 2)
 
@@ -271,10 +272,10 @@
         """Cold caches are not pushed over by all proxies together: from sends, by the stated capacity."""
         cache = self.scenario.cache
         sends: dict[str, list[float]] = defaultdict(list)
-        for send in self.records.sends:
+        for send in self.records.upstream_sends:
             sends[send.cache].append(send.at)
         top, worst = 0.0, ("", 0.0)
-        for name, starts in self.records.cold.items():
+        for name, starts in self.records.cold_starts.items():
             for start in starts:
                 times = sorted(at for at in sends[name] if start <= at <= start + cache.cold_s)
                 for number, at in enumerate(times):
@@ -285,7 +286,7 @@
                         top, worst = (number + 1 - first) / bears, (name, at)
         if top > 1.0:
             self.say("cold caches", worst[0], worst[1], f"{worst[0]} was sent {top:.2f} of what it bears")
-        for at, name in self.records.falls:
+        for at, name in self.records.cache_collapses:
             self.say("cold caches", name, at, f"{name} fell over")
         self.figures["cold_pushed"] = round(top, 3)
 
@@ -293,8 +294,8 @@
 
     def service(self) -> None:
         must, fleet = self.scenario.must, self.scenario.fleet
-        asks = [ask.at for ask in self.records.asked if ask.what == "asked"]
-        peak, when = most_in_span(asks)
+        asks = [ask.at for ask in self.records.discovery_calls if ask.what == "asked"]
+        peak, when = max_count_in_window(asks)
         launch_times: dict[str, list[float]] = defaultdict(list)
         for process_event in self.records.process_events:
             if process_event.what == "launched":
@@ -302,7 +303,7 @@
         launches = sorted(at for times in launch_times.values() for at in times)
         heard: dict[str, float] = {}
         lists: dict[tuple[str, int], float] = {}  # by proxy and incarnation, when it was first told a list
-        for told in self.records.told:
+        for told in self.records.list_events:
             heard.setdefault(told.proxy, told.at)
             lists.setdefault((told.proxy, bisect_right(launch_times[told.proxy], told.at)), told.at)
         waits = sorted(
@@ -310,13 +311,13 @@
             for (proxy, incarnation), at in lists.items()
             if incarnation
         )
-        begins, room = self.records.began, self.scenario.service.room
+        begins, room = self.records.started_at, self.scenario.service.room
         last = max(heard.values(), default=begins)
         self.figures |= {
             "asked": len(asks),
             "asked_peak": peak,
             "asked_peak_at_s": round(when - begins, 2),
-            "refused": sum(ask.what == "refused" for ask in self.records.asked),
+            "refused": sum(ask.what == "refused" for ask in self.records.discovery_calls),
             "launched_s": round(max(launches, default=begins) - begins, 2),
             "listed": len(heard),
             "listed_last_s": round(last - begins, 2),
@@ -334,7 +335,7 @@
                 told = f"{heard[proxy] - begins:.1f} s" if proxy in heard else "never"
                 self.say("list", proxy, bound, f"heard its list {told}, bound {bound - begins:.1f} s")
         doors: dict[str, float] = {}
-        for at, proxy in self.records.pongs:
+        for at, proxy in self.records.proxy_ready_events:
             doors.setdefault(proxy, at)
             incarnation = proxy, bisect_right(launch_times[proxy], at)
             if (
@@ -356,10 +357,10 @@
         must = self.scenario.must
         begun: dict[str, list[float]] = defaultdict(list)
         ended: dict[str, list[float]] = defaultdict(list)
-        for hand in self.records.hands:
-            (begun if hand.begun else ended)[hand.cache].append(hand.at)
-        peaks = {name: most_in_span(times) for name, times in begun.items()}
-        most = {name: most_held(times, ended[name]) for name, times in begun.items()}
+        for hand in self.records.connection_events:
+            (begun if hand.opened else ended)[hand.cache].append(hand.at)
+        peaks = {name: max_count_in_window(times) for name, times in begun.items()}
+        most = {name: max_concurrent(times, ended[name]) for name, times in begun.items()}
         name = max(peaks, key=lambda name: peaks[name][0], default=None)
         self.figures["handshakes"] = sum(map(len, begun.values()))
         self.figures["handshakes_peak"] = peaks[name][0] if name else 0
@@ -370,12 +371,12 @@
         for cache, (count, at) in most.items():
             if must.connections is not None and count > must.connections:
                 self.say("connections", "all", at, f"{count} held at {cache}, over {must.connections}")
-        fetches = self.records.fetches
-        count, at = most_held([begin for begin, _ in fetches], [end for _, end in fetches])
+        fetches = self.records.origin_fetches
+        count, at = max_concurrent([begin for begin, _ in fetches], [end for _, end in fetches])
         self.figures |= {"fetches": len(fetches), "fetches_at_once": count}
         if must.fetches is not None and count > must.fetches:
             self.say("fetches", "all", at, f"{count} asked of the origin at one time, over {must.fetches}")
-        count, at = most_in_span(begin for begin, _ in fetches)
+        count, at = max_count_in_window(begin for begin, _ in fetches)
         self.figures["fetches_peak"] = count
         room = must.fetches_per_s
         # A turn may be taken 0.3 s late, as on every grid; caches that queue bring some together.
@@ -385,11 +386,14 @@
     def flights(self) -> None:
         """RPCs that are out at a cache at one time, from all proxies."""
         outs: dict[str, tuple[list[float], list[float]]] = defaultdict(lambda: ([], []))
-        for place, send in enumerate(self.records.sends):
+        for place, send in enumerate(self.records.upstream_sends):
             begins, ends = outs[send.cache]
             begins.append(send.at)
-            ends.append(self.records.outs.get(place, self.records.ended))
-        most, bound = {name: most_held(*times) for name, times in outs.items()}, self.scenario.must.in_flight
+            ends.append(self.records.send_ended_at.get(place, self.records.ended_at))
+        most, bound = (
+            {name: max_concurrent(*times) for name, times in outs.items()},
+            self.scenario.must.in_flight,
+        )
         self.figures["in_flight_peak"] = max([count for count, _ in most.values()], default=0)
         for cache, (count, at) in most.items():
             if bound is not None and count > bound:
@@ -400,18 +404,18 @@
         records, longest, judged = self.records, 0.0, 0
         majority = self.scenario.fleet.proxies // 2 + 1
         held_at: dict[int, float] = {}
-        for version in sorted(one.version for one in records.published):
+        for version in sorted(one.version for one in records.published_versions):
             times = sorted(
                 {
                     proxy: at
-                    for at, proxy, held in sorted(records.documents, reverse=True)
+                    for at, proxy, held in sorted(records.document_deliveries, reverse=True)
                     if held >= version
                 }.values()
             )
             if len(times) >= majority:
                 held_at[version] = times[majority - 1]
-        zones = {one.version: one.zones for one in records.published}
-        orders = [send for send in records.sends if send.method == "order"]
+        zones = {one.version: one.zones for one in records.published_versions}
+        orders = [send for send in records.upstream_sends if send.method == "order"]
         for send in orders:
             binding = [version for version, at in held_at.items() if at < send.at]
             if not binding:
@@ -420,7 +424,7 @@
             # Forbidden by the newest that a majority had, and by all since: when did that begin?
             since = None
             for version in sorted(binding, reverse=True):
-                if records.zones[send.cache] in zones[version]:
+                if records.cache_zones[send.cache] in zones[version]:
                     break
                 since = held_at[version]
             if since is not None:
@@ -431,15 +435,16 @@
                         "versions",
                         send.proxy,
                         send.at,
-                        f"sent to zone {records.zones[send.cache]} "
+                        f"sent to zone {records.cache_zones[send.cache]} "
                         f"{send.at - since:.2f} s after a majority had the version that forbids it",
                     )
-        if records.published:
+        if records.published_versions:
             first = {
-                version: [at for at, _, held in records.documents if held >= version] for version in held_at
+                version: [at for at, _, held in records.document_deliveries if held >= version]
+                for version in held_at
             }
             self.figures |= {
-                "versions": len(records.published),
+                "versions": len(records.published_versions),
                 "orders_judged": judged,
                 "forbidden_longest_s": round(longest, 3),
                 "handed_last_s": round(
@@ -450,10 +455,12 @@
     def trials(self) -> None:
         """A bad version that is tried: where it fails orders, and for how long; what clients saw."""
         bound, longest = self.scenario.must.halted_s, 0.0
-        orders = {attempt.id: attempt for attempt in self.records.tries if attempt.method == "order"}
+        orders = {
+            attempt.id: attempt for attempt in self.records.client_attempts if attempt.method == "order"
+        }
         lost: dict[str, list[float]] = defaultdict(list)
         got: dict[str, list[float]] = defaultdict(list)
-        for answer in self.records.answers:
+        for answer in self.records.client_answers:
             if answer.id in orders:
                 (got if answer.kind == "completed" else lost)[answer.proxy].append(answer.at)
 
@@ -462,8 +469,8 @@
             count = [sum(begin <= at < end for at in times[proxy]) for times in (lost, got)]
             return count[0] / sum(count) if sum(count) >= TOLD else 0.0
 
-        for one in (one for one in self.records.attempts if one.bad and bound is not None):
-            halted, end = one.at + bound, max(one.at + bound + 3.0, one.at + one.span)
+        for one in (one for one in self.records.canaries if one.harmful and bound is not None):
+            halted, end = one.at + bound, max(one.at + bound + 3.0, one.at + one.duration_s)
             for proxy in (f"p{number}" for number in range(self.scenario.fleet.proxies)):
                 if proxy in one.proxies:
                     seen = [at for at in lost[proxy] if one.at <= at < halted]
@@ -472,7 +479,7 @@
                         self.say("trials", proxy, halted, "goes on with a version that fails")
                 elif any(
                     failing(proxy, one.at + later, one.at + later + 3.0) > 0.5
-                    for later in range(int(one.span))
+                    for later in range(int(one.duration_s))
                 ):
                     self.say("trials", proxy, one.at, "fails by a version that others were to try")
             self.figures |= {
@@ -482,17 +489,21 @@
 
     def verdicts(self) -> None:
         """What sick caches are sent, and healthy ones beside them; from sends."""
-        bound, begins = self.scenario.must.avoided_s, self.records.began
+        bound, begins = self.scenario.must.avoided_s, self.records.started_at
         for event in (
             one for one in self.scenario.event if one.do in ("sick", "sick_large") and bound is not None
         ):
             ends = min(event.until or self.scenario.seconds, self.scenario.seconds)
             rates: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
-            for send in self.records.sends:
+            for send in self.records.upstream_sends:
                 at = send.at - begins
                 # One that is slow for large answers alone is healthy for the others, by its plain name.
                 cache = send.cache
-                if event.do == "sick_large" and send.method == "read" and self.scenario.large(send.key):
+                if (
+                    event.do == "sick_large"
+                    and send.method == "read"
+                    and self.scenario.has_large_value(send.key)
+                ):
                     cache += LARGE
                 if event.at - BEFORE <= at < event.at:
                     rates[cache][0] += 1.0 / BEFORE
@@ -525,10 +536,10 @@
     def costs(self) -> None:
         """What a proxy costs in the last third, by the system and by what went over the links."""
         records, count = self.records, self.scenario.fleet.proxies
-        since = records.ended - (records.ended - records.began) / 3.0
-        spent = [part for at, part in records.spent if at > since]
+        since = records.ended_at - (records.ended_at - records.started_at) / 3.0
+        spent = [part for at, part in records.processor_use if at > since]
         sizes = [size for at, size in records.datagrams if at > since]
-        span = max(1.0, records.ended - since) * count
+        span = max(1.0, records.ended_at - since) * count
         self.figures |= {
             "core_each": round(sum(spent) / len(spent) / count, 5) if spent else None,
             "datagrams_each_s": round(len(sizes) / span, 1),
@@ -537,9 +548,9 @@
 
     def served(self) -> None:
         soft = self.scenario.traffic.soft_ms / 1000.0
-        kinds = Counter(answer.kind for answer in self.records.answers)
-        intents = sorted(self.records.intents)
-        good = [i.done is not None and i.done <= i.at + soft for i in intents]
+        kinds = Counter(answer.kind for answer in self.records.client_answers)
+        intents = sorted(self.records.client_requests)
+        good = [i.completed_at is not None and i.completed_at <= i.at + soft for i in intents]
         third = good[-(len(good) // 3) :] if len(good) > 2 else good
         self.figures |= {
             "rpcs": len(intents),
@@ -557,19 +568,21 @@
                 self.say(
                     "served",
                     "all",
-                    self.records.ended,
+                    self.records.ended_at,
                     f"{part:.3f} of the first tenant's in time at the end, under {least:g}",
                 )
         least = self.scenario.must.served
         if least is not None and (not third or sum(third) / len(third) < least):
             part = sum(third) / len(third) if third else 0.0
-            self.say("served", "all", self.records.ended, f"{part:.3f} in time at the end, under {least:g}")
+            self.say(
+                "served", "all", self.records.ended_at, f"{part:.3f} in time at the end, under {least:g}"
+            )
 
     def steady(self, intents: list, good: list[bool]) -> float | None:
         """From when on 95% of RPCs are completed in time, in every second till the end."""
         seconds: dict[int, list[bool]] = defaultdict(list)
         for intent, fine in zip(intents, good, strict=True):
-            seconds[int(intent.at - self.records.began)].append(fine)
+            seconds[int(intent.at - self.records.started_at)].append(fine)
         since = None
         for second in sorted(seconds):
             fine = sum(seconds[second]) >= 0.95 * len(seconds[second])
--- a/calicofall/testbed/clients.py
+++ b/calicofall/testbed/clients.py
@@ -19,7 +19,7 @@
 from calicofall.proxy.buffers import RingBuffer
 from calicofall.proxy.command_parser import CommandParser
 from calicofall.testbed.history import ClientAnswer, ClientAttempt, ClientRequest, History
-from calicofall.testbed.scenario import LARGE, SMALL, Scenario, names
+from calicofall.testbed.scenario import LARGE_VALUE_BYTES, SMALL_VALUE_BYTES, Scenario, expand_group
 
 REDIAL = 0.1  # s until a client whom nobody serves tries again
 HOT = 0  # the rank of the key that is hot for a time
@@ -52,7 +52,7 @@
             if at >= scenario.seconds:
                 break
             key = bisect_left(tops, random_generator.random() * tops[-1])
-            if traffic.hot and scenario.hot(at) and other.random() < traffic.hot:
+            if traffic.hot and scenario.hot_key_active(at) and other.random() < traffic.hot:
                 key = HOT
             kind = random_generator.random()
             method = (
@@ -125,7 +125,7 @@
             scenario.fleet,
             scenario.traffic.through,
         )  # whom the first tenant's clients ask, where told
-        self.through: frozenset[str] | None = through and names(
+        self.through: frozenset[str] | None = through and expand_group(
             through, fleet.proxies, fleet.caches, fleet.zones
         )
         self.tasks: set[asyncio.Task] = set()
@@ -133,7 +133,7 @@
         self.probe = max(0.1, len(doors) / 1000.0)  # s between two looks at a proxy that is not up
 
     def size(self, key: str) -> int:
-        return LARGE if self.scenario.large(key) else SMALL
+        return LARGE_VALUE_BYTES if self.scenario.has_large_value(key) else SMALL_VALUE_BYTES
 
     def start(self, began: float) -> None:
         self.began = began
@@ -147,7 +147,7 @@
         task.add_done_callback(self.tasks.discard)
 
     def saw(self, proxy: str, name: str, kind: str) -> None:
-        self.records.answers.append(ClientAnswer(self.loop.time(), proxy, name, kind))
+        self.records.client_answers.append(ClientAnswer(self.loop.time(), proxy, name, kind))
 
     # The front
 
@@ -174,7 +174,7 @@
             if isinstance(said, resp.SimpleString) and said == b"PONG":
                 lost = None
                 if proxy not in self.up:
-                    self.records.pongs.append((now, proxy))
+                    self.records.proxy_ready_events.append((now, proxy))
                     self.up.append(proxy)
             elif proxy in self.up:
                 lost = lost or now
@@ -221,7 +221,7 @@
                 await asyncio.sleep(min(wait / 1000.0, max(0.0, ends - self.loop.time())))
             elif kind != "crossed":
                 break
-        self.records.intents.append(ClientRequest(at, method, done, tenant, last))
+        self.records.client_requests.append(ClientRequest(at, method, done, tenant, last))
 
     async def reach(self, proxy: str) -> Link | None:
         while self.idle[proxy]:
@@ -245,7 +245,7 @@
         if method != "read":
             parts.append(b"new")
         answer: asyncio.Future = self.loop.create_future()
-        self.records.tries.append(ClientAttempt(self.loop.time(), link.proxy, name, method, left))
+        self.records.client_attempts.append(ClientAttempt(self.loop.time(), link.proxy, name, method, left))
         late = self.loop.call_later(left + 0.5, self.waited, answer)
 
         def then(link: Link, value: Any) -> None:
--- a/calicofall/testbed/emulated_servers.py
+++ b/calicofall/testbed/emulated_servers.py
@@ -26,7 +26,7 @@
     UpstreamSend,
 )
 from calicofall.testbed.network_faults import HEALTHY_LINK, LinkFaults, LinkState
-from calicofall.testbed.scenario import SMALL
+from calicofall.testbed.scenario import SMALL_VALUE_BYTES
 from calicofall.testbed.server_models import CacheModel, DiscoveryModel
 
 LOOPBACK = b"lo\0"
@@ -62,8 +62,8 @@
 
     loop: asyncio.AbstractEventLoop
     links: LinkFaults
-    records: History
-    wires: set["EmulatedConnection"]
+    history: History
+    connections: set["EmulatedConnection"]
 
 
 class LinkPipe:
@@ -126,7 +126,7 @@
         if self.link().reset:
             transport.abort()
             return
-        self.stage.wires.add(self)
+        self.stage.connections.add(self)
         self.made()
 
     def data_received(self, data: bytes) -> None:
@@ -152,7 +152,7 @@
     def connection_lost(self, _reason: Exception | None) -> None:
         if not self.over:
             self.over = True
-            self.stage.wires.discard(self)
+            self.stage.connections.discard(self)
             self.lost()
 
     def cut(self) -> None:
@@ -207,7 +207,9 @@
         if self.up_at is None:
             self.cut()
         else:
-            self.stage.records.hands.append(UpstreamConnectionEvent(now, self.proxy, self.other, True))
+            self.stage.history.connection_events.append(
+                UpstreamConnectionEvent(now, self.proxy, self.other, True)
+            )
 
     def took(self, at: float, data: bytes, _note: Any) -> None:
         self.ring.write(data)
@@ -218,22 +220,22 @@
             self.cut()
 
     def command(self, at: float, parts: list[bytes]) -> None:
-        now, records = self.stage.loop.time(), self.stage.records
+        now, records = self.stage.loop.time(), self.stage.history
         pairs = dict(pair.split(b"=", 1) for pair in parts[3].split(b","))
         name, method, mark = parts[2].decode(), pairs[b"c"].decode(), pairs.get(b"k", b"").decode()
-        place, write = len(records.sends), parts[0] == b"C.SET"
+        place, write = len(records.upstream_sends), parts[0] == b"C.SET"
         key = parts[1].decode()
-        records.sends.append(
+        records.upstream_sends.append(
             UpstreamSend(at, self.proxy, self.other, name, method, mark, float(pairs[b"d"]), key)
         )
         self.outs[place] = None
         begins = max(now, self.up_at)
         size = self.stand.sizes(key)
-        answer = self.stand.model.command(begins, key, write, size > SMALL)
+        answer = self.stand.model.command(begins, key, write, size > SMALL_VALUE_BYTES)
         if not answer.ran:
             self.reply(place, b"-BUSY\r\n")
             return
-        records.runs.append(ServerExecution(begins, self.other, name, method, mark))
+        records.executions.append(ServerExecution(begins, self.other, name, method, mark))
         value = b"of " + parts[2]
         value += b"." * (0 if write else size - len(value))
         note = b"$%d\r\n%b\r\n" % (len(answer.note), answer.note.encode()) if answer.note else b"$-1\r\n"
@@ -256,15 +258,17 @@
 
     def departed(self, note: int) -> None:
         self.outs.pop(note - 1, None)
-        self.stage.records.outs[note - 1] = self.stage.loop.time()
+        self.stage.history.send_ended_at[note - 1] = self.stage.loop.time()
 
     def lost(self) -> None:
         now = self.stage.loop.time()
         for place in self.outs:
-            self.stage.records.outs[place] = now
+            self.stage.history.send_ended_at[place] = now
         if self.up_at is not None:
             self.stand.model.ended()
-            self.stage.records.hands.append(UpstreamConnectionEvent(now, self.proxy, self.other, False))
+            self.stage.history.connection_events.append(
+                UpstreamConnectionEvent(now, self.proxy, self.other, False)
+            )
 
 
 class DiscoveryEmulator:
@@ -321,13 +325,13 @@
             self.silent = True
             return
         self.down = True
-        for wire in [wire for wire in self.stage.wires if wire.other == "list"]:
+        for wire in [wire for wire in self.stage.connections if wire.other == "list"]:
             wire.cut()
 
     def speak(self) -> None:
         """Silence is over: who waits is heard."""
         self.silent = False
-        for wire in [wire for wire in self.stage.wires if isinstance(wire, DiscoveryConnection)]:
+        for wire in [wire for wire in self.stage.connections if isinstance(wire, DiscoveryConnection)]:
             wire.heed()
 
 
@@ -352,7 +356,7 @@
             self.settings = path.startswith("/api/settings")
             self.wants = int(since) if since.isdigit() else -1
             if not self.settings:
-                self.stage.records.asked.append(DiscoveryCall(at, self.proxy, "asked"))
+                self.stage.history.discovery_calls.append(DiscoveryCall(at, self.proxy, "asked"))
             self.heed()
 
     def posted(self) -> None:
@@ -385,7 +389,7 @@
             return
         begins = self.stand.model.ask(now)
         if begins is None:
-            self.stage.records.asked.append(DiscoveryCall(now, self.proxy, "refused"))
+            self.stage.history.discovery_calls.append(DiscoveryCall(now, self.proxy, "refused"))
             after = self.stand.model.after
             said = b"Retry-After: %d\r\n" % after if after is not None else b""
             self.say(b"HTTP/1.1 503 No Room\r\n%bContent-Length: 0\r\n\r\n" % said)
@@ -398,7 +402,9 @@
         if self.over:
             return
         if not self.settings:
-            self.stage.records.asked.append(DiscoveryCall(self.stage.loop.time(), self.proxy, "begun"))
+            self.stage.history.discovery_calls.append(
+                DiscoveryCall(self.stage.loop.time(), self.proxy, "begun")
+            )
         self.say(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.stand.watches.add(self)
         if self.settings:
@@ -423,9 +429,9 @@
 
     def departed(self, note: tuple | int) -> None:
         if isinstance(note, int):
-            self.stage.records.documents.append((self.stage.loop.time(), self.proxy, note))
+            self.stage.history.document_deliveries.append((self.stage.loop.time(), self.proxy, note))
             return
-        self.stage.records.told.append(ListEvent(self.stage.loop.time(), self.proxy, *note))
+        self.stage.history.list_events.append(ListEvent(self.stage.loop.time(), self.proxy, *note))
 
     def lost(self) -> None:
         self.stand.watches.discard(self)
@@ -456,7 +462,7 @@
 
     def pass_on(self, peer: int, data: bytes) -> None:
         links = self.stage.links
-        self.stage.records.datagrams.append((self.stage.loop.time(), len(data)))
+        self.stage.history.datagrams.append((self.stage.loop.time(), len(data)))
         link = links.of(f"p{self.number}", f"p{peer}")
         if not links.lost(link):
             self.stage.loop.call_later(link.delay, self.hand, peer, data)
--- a/calicofall/testbed/history.py
+++ b/calicofall/testbed/history.py
@@ -18,8 +18,8 @@
     cache: str
     id: str
     method: str
-    mark: str  # the idempotency key; empty: none
-    patience: float  # ms
+    idempotency_key: str  # empty: none
+    timeout_ms: float
     key: str = ""
 
 
@@ -30,7 +30,7 @@
     cache: str
     id: str
     method: str
-    mark: str  # the idempotency key; empty: none
+    idempotency_key: str  # empty: none
 
 
 class ListEvent(NamedTuple):
@@ -39,7 +39,7 @@
     at: float
     proxy: str
     entries: tuple[tuple[str, str], ...]
-    whole: bool  # a complete list, not only the changes
+    complete: bool  # a complete list, not only the changes
 
 
 class ClientAttempt(NamedTuple):
@@ -49,7 +49,7 @@
     proxy: str
     id: str
     method: str
-    hard: float  # deadline, s after `at`
+    deadline_s: float  # after `at`
 
 
 class ClientAnswer(NamedTuple):
@@ -87,12 +87,12 @@
 
 
 class CanaryEvent(NamedTuple):
-    """A settings document handed to proxies as a canary, for `span` seconds."""
+    """A settings document handed to proxies as a canary."""
 
     at: float
     proxies: frozenset[str]
-    span: float
-    bad: bool  # whether it does harm
+    duration_s: float
+    harmful: bool  # whether it does harm
 
 
 class UpstreamConnectionEvent(NamedTuple):
@@ -101,7 +101,7 @@
     at: float
     proxy: str
     cache: str
-    begun: bool  # False: closed
+    opened: bool  # False: closed
 
 
 class ClientRequest(NamedTuple):
@@ -109,9 +109,9 @@
 
     at: float
     method: str
-    done: float | None  # when it completed; None: never
+    completed_at: float | None  # None: never
     tenant: str = "shop"
-    last: str = ""  # the id of its last attempt; empty: there was none
+    last_attempt_id: str = ""  # empty: there was no attempt
 
 
 @dataclass
@@ -119,57 +119,57 @@
     """All events of one run, in the order in which they were recorded.
 
     Attributes:
-        began: Start of the run, s on the monotonic clock.
-        offset: Time of day at the start (s since the epoch), to place lines of logs.
-        ended: End of the run, s on the monotonic clock.
-        sends: Commands sent to the emulated cache nodes.
-        outs: By the index of a send: when it was no longer in flight.
-        runs: Commands executed by the emulated cache nodes.
-        told: Events of the endpoint list written to proxies.
-        tries: Attempts of clients.
-        answers: Ends of attempts of clients.
+        started_at: Start of the run, s on the monotonic clock.
+        started_at_epoch_s: Time of day at the start (s since the epoch), to place lines of logs.
+        ended_at: End of the run, s on the monotonic clock.
+        upstream_sends: Commands sent to the emulated cache nodes.
+        send_ended_at: By the index of a send: when it was no longer in flight.
+        executions: Commands executed by the emulated cache nodes.
+        list_events: Events of the endpoint list written to proxies.
+        client_attempts: Attempts of clients.
+        client_answers: Ends of attempts of clients.
         process_events: Starts, signals and exits of proxies' processes.
-        asked: Watches requested of the emulated discovery service.
-        published: Published versions of the settings.
-        attempts: Canaries.
-        documents: Settings documents handed to a proxy: when, to which proxy, which version.
-        zones: Zone of each cache node.
-        hands: Upstream connections opened and closed.
-        pongs: Proxies that began, or began again, to answer the clients' pings: when, which proxy.
-        intents: Requests that clients intended.
-        fetches: Fetches from the emulated origin: requested, done.
-        falls: Cache nodes that collapsed under load: when, which.
-        cold: By cache node: when it started with an empty cache.
-        lags: Lateness of the testbed itself: when seen, by how much.
+        discovery_calls: Watches requested of the emulated discovery service.
+        published_versions: Published versions of the settings.
+        canaries: Canaries.
+        document_deliveries: Settings documents handed to a proxy: when, to which proxy, which version.
+        cache_zones: Zone of each cache node.
+        connection_events: Upstream connections opened and closed.
+        proxy_ready_events: Proxies that began, also again, to answer the clients' pings: when, which proxy.
+        client_requests: Requests that clients intended.
+        origin_fetches: Fetches from the emulated origin: requested, done.
+        cache_collapses: Cache nodes that collapsed under load: when, which.
+        cold_starts: By cache node: when it started with an empty cache.
+        testbed_lags: Lateness of the testbed itself: when seen, by how much.
         datagrams: Datagrams between proxies: when, bytes.
-        spent: Processor time of all proxies in a second: when, cores.
-        waits: Longest time for which a proxy waited for a core in a second: when, s.
-        faults: Injected faults: from, to, what.
+        processor_use: Processor time of all proxies in a second: when, cores.
+        core_waits: Longest time for which a proxy waited for a core in a second: when, s.
+        injected_faults: Injected faults: from, to, what.
     """
 
-    began: float = 0.0
-    offset: float = 0.0
-    ended: float = 0.0
-    sends: list[UpstreamSend] = field(default_factory=list)
-    outs: dict[int, float] = field(default_factory=dict)
-    runs: list[ServerExecution] = field(default_factory=list)
-    told: list[ListEvent] = field(default_factory=list)
-    tries: list[ClientAttempt] = field(default_factory=list)
-    answers: list[ClientAnswer] = field(default_factory=list)
+    started_at: float = 0.0
+    started_at_epoch_s: float = 0.0
+    ended_at: float = 0.0
+    upstream_sends: list[UpstreamSend] = field(default_factory=list)
+    send_ended_at: dict[int, float] = field(default_factory=dict)
+    executions: list[ServerExecution] = field(default_factory=list)
+    list_events: list[ListEvent] = field(default_factory=list)
+    client_attempts: list[ClientAttempt] = field(default_factory=list)
+    client_answers: list[ClientAnswer] = field(default_factory=list)
     process_events: list[ProcessEvent] = field(default_factory=list)
-    asked: list[DiscoveryCall] = field(default_factory=list)
-    published: list[PublishedVersion] = field(default_factory=list)
-    attempts: list[CanaryEvent] = field(default_factory=list)
-    documents: list[tuple[float, str, int]] = field(default_factory=list)
-    zones: dict[str, str] = field(default_factory=dict)
-    hands: list[UpstreamConnectionEvent] = field(default_factory=list)
-    pongs: list[tuple[float, str]] = field(default_factory=list)
-    intents: list[ClientRequest] = field(default_factory=list)
-    fetches: list[tuple[float, float]] = field(default_factory=list)
-    falls: list[tuple[float, str]] = field(default_factory=list)
-    cold: dict[str, list[float]] = field(default_factory=dict)
-    lags: list[tuple[float, float]] = field(default_factory=list)
+    discovery_calls: list[DiscoveryCall] = field(default_factory=list)
+    published_versions: list[PublishedVersion] = field(default_factory=list)
+    canaries: list[CanaryEvent] = field(default_factory=list)
+    document_deliveries: list[tuple[float, str, int]] = field(default_factory=list)
+    cache_zones: dict[str, str] = field(default_factory=dict)
+    connection_events: list[UpstreamConnectionEvent] = field(default_factory=list)
+    proxy_ready_events: list[tuple[float, str]] = field(default_factory=list)
+    client_requests: list[ClientRequest] = field(default_factory=list)
+    origin_fetches: list[tuple[float, float]] = field(default_factory=list)
+    cache_collapses: list[tuple[float, str]] = field(default_factory=list)
+    cold_starts: dict[str, list[float]] = field(default_factory=dict)
+    testbed_lags: list[tuple[float, float]] = field(default_factory=list)
     datagrams: list[tuple[float, int]] = field(default_factory=list)
-    spent: list[tuple[float, float]] = field(default_factory=list)
-    waits: list[tuple[float, float]] = field(default_factory=list)
-    faults: list[tuple[float, float, str]] = field(default_factory=list)
+    processor_use: list[tuple[float, float]] = field(default_factory=list)
+    core_waits: list[tuple[float, float]] = field(default_factory=list)
+    injected_faults: list[tuple[float, float, str]] = field(default_factory=list)
--- a/calicofall/testbed/loss_breakdown.py
+++ b/calicofall/testbed/loss_breakdown.py
@@ -16,7 +16,7 @@
 from typing import Any, NamedTuple
 
 from calicofall.testbed.history import History
-from calicofall.testbed.scenario import CacheEvent, LinkEvent, Scenario, names
+from calicofall.testbed.scenario import CacheEvent, LinkEvent, Scenario, expand_group
 
 LogLine = dict[str, str]
 ProxyLogs = dict[str, list[LogLine]]  # by proxy
@@ -112,11 +112,11 @@
     """Return the requests of clients that were not served in time, by cause; they sum up to all lost."""
     latency_objective_s = scenario.traffic.soft_ms / 1000.0
     line_by_id = {line["id"]: line for lines in logs.values() for line in lines if line.get("event") == "rpc"}
-    kind_by_id = {answer.id: answer.kind for answer in history.answers if answer.id}
+    kind_by_id = {answer.id: answer.kind for answer in history.client_answers if answer.id}
     causes: Counter[str] = Counter()
-    for request in history.intents:
-        if request.done is None or request.done > request.at + latency_objective_s:
-            causes[_cause_of_lost_request(request.last, kind_by_id, line_by_id)] += 1
+    for request in history.client_requests:
+        if request.completed_at is None or request.completed_at > request.at + latency_objective_s:
+            causes[_cause_of_lost_request(request.last_attempt_id, kind_by_id, line_by_id)] += 1
     return causes
 
 
@@ -195,9 +195,9 @@
     for event in scenario.event:
         affected: Iterable[str] = ()
         if isinstance(event, CacheEvent) and event.do in ENDPOINT_FAULTS:
-            affected = names(event.who, fleet.proxies, fleet.caches, fleet.zones)
+            affected = expand_group(event.who, fleet.proxies, fleet.caches, fleet.zones)
         elif isinstance(event, LinkEvent) and event.do in LINK_FAULTS:
-            affected = names(event.to, fleet.proxies, fleet.caches, fleet.zones)
+            affected = expand_group(event.to, fleet.proxies, fleet.caches, fleet.zones)
         for name in affected:
             if name.startswith("c"):
                 warm_up = scenario.cache.cold_s if event.do in ("cold", "add") else 0.0
@@ -228,7 +228,7 @@
     seconds = 0.0
     delays: dict[str, dict[str, float]] = defaultdict(dict)  # by endpoint and proxy, from fault to ejection
     for proxy, lines in logs.items():
-        for ejection in _ejections(proxy, lines, history.offset, scenario.seconds):
+        for ejection in _ejections(proxy, lines, history.started_at_epoch_s, scenario.seconds):
             begins = [
                 period.begin
                 for period in faulty.get(ejection.endpoint, [])
@@ -266,9 +266,9 @@
     causes = count_lost_requests(scenario, history, logs)
     answers_in_logs = sum(line.get("event") == "rpc" for lines in logs.values() for line in lines)
     return {
-        "wishes": len(history.intents),
+        "wishes": len(history.client_requests),
         "lost": sum(causes.values()),
         "by_cause": dict(causes.most_common()),
-        "answers_seen_by_clients": sum(bool(answer.id) for answer in history.answers),
+        "answers_seen_by_clients": sum(bool(answer.id) for answer in history.client_answers),
         "answers_in_logs": answers_in_logs,
     } | ejection_figures(scenario, history, logs)
--- a/calicofall/testbed/randomized_scenarios.py
+++ b/calicofall/testbed/randomized_scenarios.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any
 
-from calicofall.testbed.scenario import DRIFT, PAUSE, Scenario, parse_scenario
+from calicofall.testbed.scenario import CLOCK_DRIFT, MAX_PAUSE_S, Scenario, parse_scenario
 
 MIN_PROXIES = 8
 MAX_PROXIES = 16
@@ -163,7 +163,7 @@
         )  # two that follow each other share a zone
         events.append({"at": round(at, 1), "do": "publish", "zones": zones})
         at += random_generator.uniform(0.8, 2.4)
-    settled_s = lease_s * (1.0 + DRIFT) ** 2 + PAUSE
+    settled_s = lease_s * (1.0 + CLOCK_DRIFT) ** 2 + MAX_PAUSE_S
     return parse_scenario(
         {
             "name": f"versions-{seed}",
--- a/calicofall/testbed/rate_slot_simulation.py
+++ b/calicofall/testbed/rate_slot_simulation.py
@@ -12,7 +12,7 @@
 from calicofall.fleet.quota_leases import UNITS
 from calicofall.fleet.rate_slots import OriginFetchSlots, RateSlots
 from calicofall.startup.time_slots import TimeSlots
-from calicofall.testbed.checker import most_in_span
+from calicofall.testbed.checker import max_count_in_window
 from calicofall.testbed.quota_simulation import QuotaSimulation
 from calicofall.testbed.simulation import SimulatedNode
 
@@ -92,7 +92,7 @@
     @property
     def peak(self) -> int:
         """The most slots that were used within a second."""
-        return most_in_span(self.taken_at)[0]
+        return max_count_in_window(self.taken_at)[0]
 
 
 class OriginFetchSimulation(RateSlotSimulation):
--- a/calicofall/testbed/report.py
+++ b/calicofall/testbed/report.py
@@ -62,8 +62,8 @@
         "drill": scenario.name,
         "seed": scenario.seed,
         "proxies": scenario.fleet.proxies,
-        "verdict": verdict.word,
-        "void": verdict.void,
+        "verdict": verdict.outcome,
+        "void": verdict.void_reason,
         "findings": [finding._asdict() for finding in verdict.findings],
         "figures": verdict.figures,
         "by_second": by_second(history),
@@ -74,10 +74,10 @@
 
 def by_second(history: History) -> dict[str, list[int]]:
     """Return counts of the events of each second of a run, by kind."""
-    seconds = int(history.ended - history.began) + 1
+    seconds = int(history.ended_at - history.started_at) + 1
     counts = {name: [0] * seconds for name in COUNTED_BY_SECOND}
     for name, at in _counted_events(history):
-        second = int(at - history.began)
+        second = int(at - history.started_at)
         if 0 <= second < seconds:
             counts[name][second] += 1
     return counts
@@ -85,20 +85,20 @@
 
 def _counted_events(history: History) -> Iterator[tuple[str, float]]:
     """Yield the kind and time of each event that is counted by second."""
-    for call in history.asked:
+    for call in history.discovery_calls:
         if call.what in COUNTED_BY_SECOND:
             yield call.what, call.at
     listed: set[str] = set()
-    for event in history.told:
+    for event in history.list_events:
         if event.proxy not in listed:
             listed.add(event.proxy)
             yield "lists", event.at
-    for at, _ in history.pongs:
+    for at, _ in history.proxy_ready_events:
         yield "doors", at
-    for request in history.intents:
+    for request in history.client_requests:
         yield "wanted", request.at
-        if request.done is not None:
-            yield "completed", request.done
+        if request.completed_at is not None:
+            yield "completed", request.completed_at
 
 
 def load(paths: list[str]) -> list[Result]:
--- a/calicofall/testbed/routing_simulation.py
+++ b/calicofall/testbed/routing_simulation.py
@@ -20,7 +20,7 @@
 from calicofall.routing.actions import CloseConnections
 from calicofall.routing.request import Request
 from calicofall.routing.router import Router
-from calicofall.testbed.scenario import ZONES
+from calicofall.testbed.scenario import ZONE_NAMES
 from calicofall.testbed.server_models import CacheModel, OriginModel
 
 ONE_WAY_MS = 0.5  # of a message between two processes
@@ -80,7 +80,7 @@
         self.writes = writes
         self.fleet: int = deployment["proxies"]
         self.caches = {f"c{number}": cache for number, cache in enumerate(caches)}
-        zone = {f"c{number}": ZONES[number % zones] for number in range(len(caches))}
+        zone = {f"c{number}": ZONE_NAMES[number % zones] for number in range(len(caches))}
         self.entries = [
             (name, zone[name], "box", 0, "ready", 1.0, 1000.0 * (cache.began or 0.0))
             for name, cache in self.caches.items()
@@ -119,7 +119,7 @@
 
     def begin(self, number: int) -> Router:
         """Return the router of a proxy that starts now."""
-        place = {"me": number, "zone": ZONES[number % self.zones]}
+        place = {"me": number, "zone": ZONE_NAMES[number % self.zones]}
         router = self.make(self.deployment | place, self.seed * 10_007 + number, self.now)
         router.on_endpoint_list(self.now, "full", 1, self.entries)
         return router
--- a/calicofall/testbed/runner.py
+++ b/calicofall/testbed/runner.py
@@ -30,7 +30,7 @@
 )
 from calicofall.testbed.history import CanaryEvent, History, ProcessEvent, PublishedVersion
 from calicofall.testbed.network_faults import LinkFault, LinkFaults
-from calicofall.testbed.scenario import DRIFT, PAUSE, ZONES, Scenario, names
+from calicofall.testbed.scenario import CLOCK_DRIFT, MAX_PAUSE_S, ZONE_NAMES, Scenario, expand_group
 from calicofall.testbed.server_models import CacheModel, DiscoveryModel, OriginModel
 
 FIRST_PORT = 10_240
@@ -62,11 +62,11 @@
         folder: Path,
         program: str | None = None,
         commands: dict[int, list[str]] | None = None,
-        told: Callable[[str], None] = lambda line: None,
+        progress: Callable[[str], None] = lambda line: None,
     ) -> None:
         self.scenario, self.folder, self.program, self.commands = scenario, folder, program, commands or {}
-        self.tell, self.records, self.links = told, History(), LinkFaults(scenario.seed)
-        self.wires: set[EmulatedConnection] = set()
+        self.tell, self.history, self.links = progress, History(), LinkFaults(scenario.seed)
+        self.connections: set[EmulatedConnection] = set()
         self.processes: dict[str, subprocess.Popen] = {}
         self.gone: dict[str, asyncio.Future] = {}  # the end of each one's present life, once recorded
         self.files: list[Any] = []
@@ -75,7 +75,7 @@
 
     async def run(self) -> Verdict:
         self.loop = asyncio.get_running_loop()
-        self.open()
+        self.build_servers()
         cores = sorted(os.sched_getaffinity(0))
         try:
             for stand in (*self.caches.values(), self.service):
@@ -83,10 +83,10 @@
             if len(cores) > 2:  # the stage keeps a core to itself, so that what it sees is seen in time
                 os.sched_setaffinity(0, cores[:1])
             self.cores = cores[1:] if len(cores) > 2 else cores
-            self.records.began = self.began = self.loop.time()
-            self.records.offset = time.time()
-            self.expected = self.began
-            self.look()
+            self.history.started_at = self.began = self.loop.time()
+            self.history.started_at_epoch_s = time.time()
+            self.next_lag_check_at = self.began
+            self.measure_lag()
             self.clients.start(self.began)
             self.plan()
             await self.launch_all()
@@ -95,7 +95,7 @@
                 self.progress()
         finally:
             self.stopping = True
-            self.records.ended = self.loop.time()
+            self.history.ended_at = self.loop.time()
             self.usage()
             for name in list(self.processes):
                 self.kill(name)
@@ -107,21 +107,25 @@
                 file.close()
             for relay in self.relays:
                 relay.close()
-        self.records.fetches = self.origin.spans
-        self.records.falls = [(at, name) for name, stand in self.caches.items() for at in stand.model.falls]
-        self.records.faults = self.links.spans
-        return check_history(self.scenario, self.records)
+        self.history.origin_fetches = self.origin.spans
+        self.history.cache_collapses = [
+            (at, name) for name, stand in self.caches.items() for at in stand.model.falls
+        ]
+        self.history.injected_faults = self.links.spans
+        return check_history(self.scenario, self.history)
 
     # Stand-ins
 
-    def open(self) -> None:
+    def build_servers(self) -> None:
         scenario, cache = self.scenario, self.scenario.cache
         fleet = scenario.fleet
         self.origin = OriginModel(scenario.origin.fetches, scenario.origin.fetch_ms / 1000.0)
         free = ports(2 * fleet.proxies)
         self.doors = {f"p{i}": ("127.0.0.1", free[i]) for i in range(fleet.proxies)}
-        self.offices = [f"127.0.0.1:{port}" for port in free[fleet.proxies :]]  # where operators call
-        self.clients = Clients(self.loop, scenario, self.records, self.doors)
+        self.operator_addresses = [
+            f"127.0.0.1:{port}" for port in free[fleet.proxies :]
+        ]  # where operators call
+        self.clients = Clients(self.loop, scenario, self.history, self.doors)
         self.caches: dict[str, CacheEmulator] = {}
         for number in range(fleet.caches):
             self.build(f"c{number}")
@@ -139,12 +143,12 @@
         for name, stand in self.caches.items():
             if cache.cold:
                 stand.model.start(now)
-                self.records.cold[name] = [now]
+                self.history.cold_starts[name] = [now]
             model.put(self.entry(name, since=wall if cache.cold else 0.0))
-        self.records.zones = {name: self.entry(name)["zone"] for name in self.caches}
+        self.history.cache_zones = {name: self.entry(name)["zone"] for name in self.caches}
         if fleet.versions:
-            self.service.documents.append(self.document(1, ZONES[: fleet.zones]))
-            self.records.published.append(PublishedVersion(now, 1, ZONES[: fleet.zones]))
+            self.service.documents.append(self.document(1, ZONE_NAMES[: fleet.zones]))
+            self.history.published_versions.append(PublishedVersion(now, 1, ZONE_NAMES[: fleet.zones]))
         self.relays, self.speaks = [], []
         if fleet.speak:
             self.speaks = ports(fleet.proxies, socket.SOCK_DGRAM)
@@ -173,7 +177,7 @@
     def entry(self, name: str, status: str = "SERVING", since: float | None = None) -> dict[str, Any]:
         before = self.service.model.entries.get(name, {})
         since_ms = before.get("since_ms", 0) if since is None else round(since * 1000.0)
-        zone = ZONES[int(name[1:]) % self.scenario.fleet.zones]
+        zone = ZONE_NAMES[int(name[1:]) % self.scenario.fleet.zones]
         return {
             "name": name,
             "zone": zone,
@@ -203,7 +207,7 @@
                 "fleet": self.scenario.name,
                 "members": members,
                 "keepers": members[:DEFAULT_VOTER_COUNT],
-                "lease": {"s": self.scenario.fleet.lease_s, "drift": DRIFT, "pauseS": PAUSE},
+                "lease": {"s": self.scenario.fleet.lease_s, "drift": CLOCK_DRIFT, "pauseS": MAX_PAUSE_S},
                 "settings": settings | {"methods": methods},
             }
             | ({"trial": trial} if trial else {})
@@ -233,8 +237,8 @@
             "me": number,
             "kinds": ["box"],
             "discovery": "push",
-            "failureDomains": list(ZONES[: fleet.zones]),
-            "zone": ZONES[number % fleet.zones],
+            "failureDomains": list(ZONE_NAMES[: fleet.zones]),
+            "zone": ZONE_NAMES[number % fleet.zones],
             "overageGain": 0.1,
             "domain": {"mode": "through"},
             "methods": [
@@ -300,14 +304,14 @@
         node = {
             "name": name,
             "listen": f"{host}:{port}",
-            "mgmt": self.offices[number],
+            "mgmt": self.operator_addresses[number],
             "seed": f"{scenario.seed * 1000 + number + 1:x}",
             "discovery": f"{address(number)}:{self.service.port}",
             "settings": self.settings(number),
             "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
         }
         if fleet.versions:
-            node["document"] = self.document(1, ZONES[: fleet.zones])
+            node["document"] = self.document(1, ZONE_NAMES[: fleet.zones])
         if fleet.record:
             node["record"] = {"folder": str(self.folder / name / "record"), "level": "proxy", "segmentS": 3.0}
         return node | ({"start": start} if start else {})
@@ -350,15 +354,15 @@
                 os.sched_setaffinity(process.pid, self.cores)
             return process
 
-        self.records.process_events.append(ProcessEvent(self.loop.time(), name, "launched"))
+        self.history.process_events.append(ProcessEvent(self.loop.time(), name, "launched"))
         process = await self.loop.run_in_executor(None, start)
         self.processes[name] = process
         if self.stopping:
             self.kill(name)
             return
-        self.watch(name, process)
+        self.watch_exit(name, process)
 
-    def watch(self, name: str, process: subprocess.Popen) -> None:
+    def watch_exit(self, name: str, process: subprocess.Popen) -> None:
         """Its end is recorded once."""
         self.gone[name] = self.loop.create_future()
         eye = os.pidfd_open(process.pid)
@@ -369,7 +373,7 @@
         os.close(eye)
         code = process.wait()
         if not self.stopping:
-            self.records.process_events.append(ProcessEvent(self.loop.time(), name, "exited", code))
+            self.history.process_events.append(ProcessEvent(self.loop.time(), name, "exited", code))
         self.gone[name].set_result(None)
 
     def kill(self, name: str) -> None:
@@ -380,10 +384,10 @@
     def send(self, name: str, number: int, what: str) -> None:
         process = self.processes.get(name)
         if process is not None and process.poll() is None:
-            self.records.process_events.append(ProcessEvent(self.loop.time(), name, what))
+            self.history.process_events.append(ProcessEvent(self.loop.time(), name, what))
             process.send_signal(number)
 
-    async def again(self, name: str, forget: bool) -> None:
+    async def restart_proxy(self, name: str, forget: bool) -> None:
         """Killed, and started again, with or without what it knew."""
         self.send(name, signal.SIGKILL, "killed")
         if name in self.gone:
@@ -404,7 +408,7 @@
 
     def group(self, who: str) -> frozenset[str]:
         fleet = self.scenario.fleet
-        return names(who, fleet.proxies, fleet.caches, fleet.zones)
+        return expand_group(who, fleet.proxies, fleet.caches, fleet.zones)
 
     def begin(self, event: Any) -> None:
         do = event.do
@@ -428,16 +432,16 @@
         elif do == "move":
             self.clients.through = self.group(event.who)
         elif do == "publish":
-            version = max((one.version for one in self.records.published), default=0) + 1
-            self.records.published.append(PublishedVersion(self.loop.time(), version, event.zones))
+            version = max((one.version for one in self.history.published_versions), default=0) + 1
+            self.history.published_versions.append(PublishedVersion(self.loop.time(), version, event.zones))
             self.service.publish(self.document(version, event.zones, event.bad))
         elif do == "try":
             whom = sorted(int(name[1:]) for name in self.group(event.who) & self.doors.keys())
-            self.records.attempts.append(
+            self.history.canaries.append(
                 CanaryEvent(self.loop.time(), frozenset(f"p{one}" for one in whom), event.span, event.bad)
             )
             trial = {"members": whom, "s": event.span, "worse": 0.05}
-            version = max((one.version for one in self.records.published), default=0) + 1
+            version = max((one.version for one in self.history.published_versions), default=0) + 1
             self.service.hand_on(self.document(version, event.zones, event.bad, trial))
         elif do == "service_restart":
             if event.older:
@@ -452,7 +456,7 @@
 
     def process(self, event: Any, name: str) -> None:
         if event.do == "restart":
-            self.clients.hold(self.again(name, event.forget))
+            self.clients.hold(self.restart_proxy(name, event.forget))
         else:
             number, what = {
                 "kill": (signal.SIGKILL, "killed"),
@@ -481,7 +485,7 @@
         self.changed()
 
     def changed(self) -> None:
-        for wire in list(self.wires):
+        for wire in list(self.connections):
             wire.changed()
 
     def cache(self, event: Any) -> None:
@@ -497,7 +501,7 @@
                 self.caches[name].model.slow_large = max(1.0, event.amount)
             else:  # add, cold: from nothing
                 self.caches[name].model.start(now)
-                self.records.cold.setdefault(name, []).append(now)
+                self.history.cold_starts.setdefault(name, []).append(now)
                 self.service.change(self.entry(name, since=wall))
 
     def finish(self, event: Any) -> None:
@@ -507,7 +511,7 @@
                 self.send(name, signal.SIGCONT, "woken")
         elif do in ("kill", "term"):
             for name in sorted(self.group(event.who) & self.doors.keys()):
-                self.clients.hold(self.again(name, event.forget))
+                self.clients.hold(self.restart_proxy(name, event.forget))
         elif do == "service_down":
             self.service.down = False
             if self.service.agents:
@@ -527,12 +531,12 @@
 
     # What is looked after
 
-    def look(self) -> None:
+    def measure_lag(self) -> None:
         now = self.loop.time()
-        if now - self.expected > LATE:
-            self.records.lags.append((now, now - self.expected))
-        self.expected = now + LOOK
-        self.loop.call_at(self.expected, self.look)
+        if now - self.next_lag_check_at > LATE:
+            self.history.testbed_lags.append((now, now - self.next_lag_check_at))
+        self.next_lag_check_at = now + LOOK
+        self.loop.call_at(self.next_lag_check_at, self.measure_lag)
 
     def usage(self) -> None:
         """How long the proxy that waited longest for a core did so since the last look, by the system."""
@@ -544,13 +548,13 @@
                 self.waits[process.pid] = int(figures[0]), int(figures[1])
                 spent += (int(figures[0]) - ran) / 1e9
                 worst = max(worst, (int(figures[1]) - before) / 1e9)
-        self.records.waits.append((self.loop.time(), worst))
-        self.records.spent.append((self.loop.time(), spent))
+        self.history.core_waits.append((self.loop.time(), worst))
+        self.history.processor_use.append((self.loop.time(), spent))
 
     def progress(self) -> None:
         self.usage()
-        heard = len({told.proxy for told in self.records.told})
-        asked = sum(ask.what == "asked" for ask in self.records.asked)
+        heard = len({told.proxy for told in self.history.list_events})
+        asked = sum(ask.what == "asked" for ask in self.history.discovery_calls)
         self.tell(
             f"{self.loop.time() - self.began:6.1f} s  up {len(self.clients.up)}, lists {heard}, asked "
             f"{asked}, RPCs {self.clients.given}, completed {self.clients.done}"
@@ -562,11 +566,11 @@
     folder: Path,
     program: str | None = None,
     commands: dict[int, list[str]] | None = None,
-    told: Callable[[str], None] = lambda line: None,
+    progress: Callable[[str], None] = lambda line: None,
 ) -> tuple[Verdict, History]:
     """Plays a drill to its end; all processes that it started are gone then, also after Ctrl-C."""
     folder.mkdir(parents=True, exist_ok=True)
-    stage = ScenarioRunner(scenario, folder, program, commands, told)
+    stage = ScenarioRunner(scenario, folder, program, commands, progress)
 
     async def run() -> Verdict:
         loop, task = asyncio.get_running_loop(), asyncio.current_task()
@@ -576,6 +580,6 @@
         return await stage.run()
 
     try:
-        return asyncio.run(run()), stage.records
+        return asyncio.run(run()), stage.history
     except asyncio.CancelledError:
         raise KeyboardInterrupt from None
--- a/calicofall/testbed/scenario.py
+++ b/calicofall/testbed/scenario.py
@@ -10,9 +10,9 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-LARGE, SMALL = 20_000, 64  # bytes of a value
-ZONES = "abcdefgh"
-DRIFT, PAUSE = 0.01, 0.5  # of the clocks, and s: what the documents of a drill state
+LARGE_VALUE_BYTES, SMALL_VALUE_BYTES = 20_000, 64  # bytes of a value
+ZONE_NAMES = "abcdefgh"
+CLOCK_DRIFT, MAX_PAUSE_S = 0.01, 0.5  # of the clocks, and s: what the documents of a drill state
 SCENARIO_FOLDER = Path(__file__).parent / "scenarios"
 Share = Annotated[float, Field(ge=0.0, le=1.0)]
 Over0 = Annotated[float, Field(gt=0.0)]
@@ -20,7 +20,7 @@
 Count = Annotated[int, Field(ge=1)]
 
 
-class InvalidScenario(Exception):
+class InvalidScenarioError(Exception):
     """What is wrong with a drill, in one line."""
 
 
@@ -200,11 +200,11 @@
     event: list[Event] = []
     must: ExpectedBounds = ExpectedBounds()
 
-    def large(self, key: str) -> bool:
+    def has_large_value(self, key: str) -> bool:
         """Whether a key has a large value."""
         return int(key, 16) <= int(self.traffic.large * self.traffic.keys)
 
-    def hot(self, at: float) -> bool:
+    def hot_key_active(self, at: float) -> bool:
         return at >= self.traffic.hot_at
 
     @model_validator(mode="after")
@@ -227,7 +227,7 @@
     except ValidationError as wrong:
         first = wrong.errors()[0]
         field = ".".join(str(part) for part in first["loc"]) or "the drill"
-        raise InvalidScenario(
+        raise InvalidScenarioError(
             f"{file}: {field}: {first['msg']} (found {str(first['input'])[:60]!r})"
         ) from None
 
@@ -240,18 +240,18 @@
     try:
         return parse_scenario(tomllib.loads(file.read_text()), str(path))
     except OSError as reason:
-        raise InvalidScenario(
+        raise InvalidScenarioError(
             f"{path}: {reason.strerror}: a drill's file, or one of {', '.join(shipped_scenarios())}"
         ) from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as reason:
-        raise InvalidScenario(f"{path}: no TOML: {reason}") from None
+        raise InvalidScenarioError(f"{path}: no TOML: {reason}") from None
 
 
 def shipped_scenarios() -> list[str]:
     return sorted(file.stem for file in SCENARIO_FOLDER.glob("*.toml"))
 
 
-def names(who: str, proxies: int, caches: int, zones: int) -> frozenset[str]:
+def expand_group(who: str, proxies: int, caches: int, zones: int) -> frozenset[str]:
     """The names that a group stands for: proxies p0, p1, ..., caches c0, c1, ..., the service `list`."""
     out: set[str] = set()
     for part in who.split(","):
@@ -265,7 +265,7 @@
         elif part == "list":
             out.add("list")
         elif part.startswith("zone:"):
-            zone = ZONES.index(part[5:])
+            zone = ZONE_NAMES.index(part[5:])
             out.update(f"p{i}" for i in range(proxies) if i % zones == zone)
             out.update(f"c{i}" for i in range(caches) if i % zones == zone)
         else:
--- a/calicofall/testbed/startup_simulation.py
+++ b/calicofall/testbed/startup_simulation.py
@@ -14,7 +14,7 @@
 from calicofall.startup.contention import ContentionEstimate
 from calicofall.startup.discovery_schedule import DiscoverySchedule
 from calicofall.startup.time_slots import TimeSlots
-from calicofall.testbed.checker import most_in_span
+from calicofall.testbed.checker import max_count_in_window
 from calicofall.testbed.server_models import DiscoveryModel
 
 MESSAGE_DELAY_S = 0.001
@@ -64,7 +64,7 @@
     @property
     def peak(self) -> int:
         """The most attempts in any second."""
-        return most_in_span(self.asks)[0]
+        return max_count_in_window(self.asks)[0]
 
 
 class StartingNode:
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -62,14 +62,14 @@
 )
 def test_lost_requests_of_each_kind_have_one_cause_and_sum_up(line: dict[str, str], cause: str) -> None:
     records = History(
-        intents=[
-            ClientRequest(1.0, "read", 1.1, last="0"),
-            ClientRequest(1.0, "read", None, last="1"),
+        client_requests=[
+            ClientRequest(1.0, "read", 1.1, last_attempt_id="0"),
+            ClientRequest(1.0, "read", None, last_attempt_id="1"),
             ClientRequest(2.0, "read", None),
-            ClientRequest(3.0, "read", None, last="2"),
-            ClientRequest(3.0, "read", None, last="3"),
+            ClientRequest(3.0, "read", None, last_attempt_id="2"),
+            ClientRequest(3.0, "read", None, last_attempt_id="3"),
         ],
-        answers=[ClientAnswer(1.2, "p0", "1", "exhausted"), ClientAnswer(3.2, "p1", "2", "closed")],
+        client_answers=[ClientAnswer(1.2, "p0", "1", "exhausted"), ClientAnswer(3.2, "p1", "2", "closed")],
     )
     causes = loss_breakdown.count_lost_requests(PLAN, records, {"p0": [line]})
     assert causes == {cause: 1, "no proxy that serves": 1, "its proxy died": 1, "not in the proxies' logs": 1}
@@ -105,7 +105,7 @@
         "p0": [aside(5.0, "c1"), aside(11.0), aside(22.0, "c2"), aside(40.5)],
         "p1": [aside(24.0, "c2,c3"), aside(27.0, "c2"), aside(55.0)],
     }
-    figures = loss_breakdown.ejection_figures(PLAN, History(offset=1000.0), told)
+    figures = loss_breakdown.ejection_figures(PLAN, History(started_at_epoch_s=1000.0), told)
     # c1 for 6 s and c3 for 3 s of sixty, two proxies, four caches.
     assert figures["aside_in_error_a_minute"] == 2.0
     assert figures["aside_in_error_part"] == pytest.approx(9.0 / (60.0 * 2 * 4), rel=0.01)
@@ -177,7 +177,9 @@
     verdict, records = asyncio.run(asyncio.to_thread(run_scenario, plan, tmp_path))
     report.keep(tmp_path, plan, verdict, records)
     told = report.load([str(tmp_path)])[0]["account"]
-    late = [one for one in records.intents if one.done is None or one.done > one.at + 0.2]
+    late = [
+        one for one in records.client_requests if one.completed_at is None or one.completed_at > one.at + 0.2
+    ]
     assert told["lost"] == len(late) == sum(told["by_cause"].values()) > 5
     assert told["by_cause"].get("not in the proxies' logs", 0) <= 0.2 * len(late)
     shown = CliRunner().invoke(main, ["stage", "report", str(tmp_path)]).output
--- a/tests/test_rate_slots.py
+++ b/tests/test_rate_slots.py
@@ -20,7 +20,7 @@
 from calicofall.proxy.quota_enforcement import HANDSHAKE_SLOTS, IN_FLIGHT_LIMIT, ORIGIN_FETCH_SLOTS
 from calicofall.startup import peer_messages
 from calicofall.startup.time_slots import SLOT_LATENESS_S, TimeSlots
-from calicofall.testbed.checker import most_in_span
+from calicofall.testbed.checker import max_count_in_window
 from calicofall.testbed.quota_simulation import run_random_faults
 from calicofall.testbed.rate_slot_simulation import OriginFetchSimulation, RateSlotSimulation
 
@@ -206,7 +206,7 @@
             if one.due_at(now) <= now:
                 one.take(now)
                 sent.append(now)
-    assert most_in_span(sent)[0] <= 60.0 * (1.0 + SLOT_LATENESS_S) + 1
+    assert max_count_in_window(sent)[0] <= 60.0 * (1.0 + SLOT_LATENESS_S) + 1
     assert len([at for at in sent if at < 54.0]) >= 0.9 * 60.0 * 4.0
 
 
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -772,8 +772,8 @@
         ],
     }
     verdict, _ = run_scenario(scenario.parse_scenario(plan, "recorded"), tmp_path / "out")
-    assert not verdict.void, (verdict.void, verdict.findings[:5])
-    assert not verdict.findings, (verdict.void, verdict.findings[:5])
+    assert not verdict.void_reason, (verdict.void_reason, verdict.findings[:5])
+    assert not verdict.findings, (verdict.void_reason, verdict.findings[:5])
     decisions = 0
     for number in range(6):
         files = [*(tmp_path / "out" / f"p{number}" / "record").glob("*.record")]
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -21,7 +21,7 @@
 
 from calicofall.cli.main import main
 from calicofall.testbed import randomized_scenarios, report, scenario
-from calicofall.testbed.checker import Verdict, check_history, most_held, most_in_span
+from calicofall.testbed.checker import Verdict, check_history, max_concurrent, max_count_in_window
 from calicofall.testbed.emulated_servers import address, number_of
 from calicofall.testbed.history import (
     ClientAnswer,
@@ -67,14 +67,14 @@
         )  # later than the process has ended
 
         async def launch(_number: int) -> None:
-            stage.records.process_events.append(ProcessEvent(loop.time(), "p0", "launched"))
+            stage.history.process_events.append(ProcessEvent(loop.time(), "p0", "launched"))
 
         stage.launch, stage.processes["p0"] = launch, subprocess.Popen(["sleep", "60"])
-        stage.watch("p0", stage.processes["p0"])
-        await stage.again("p0", False)
+        stage.watch_exit("p0", stage.processes["p0"])
+        await stage.restart_proxy("p0", False)
         loop.add_reader = watch
         await asyncio.sleep(0.4)
-        return [process_event.what for process_event in stage.records.process_events]
+        return [process_event.what for process_event in stage.history.process_events]
 
     assert asyncio.run(restart()) == ["killed", "exited", "launched"]
 
@@ -131,8 +131,8 @@
 
 
 def test_groups_name_what_they_say() -> None:
-    assert scenario.names("zone:b,p0-p1,list", 4, 3, 2) == {"p1", "p3", "c1", "p0", "list"}
-    assert scenario.names("half", 5, 3, 2) == {"p0", "p2", "p4"}
+    assert scenario.expand_group("zone:b,p0-p1,list", 4, 3, 2) == {"p1", "p3", "c1", "p0", "list"}
+    assert scenario.expand_group("half", 5, 3, 2) == {"p0", "p2", "p4"}
 
 
 def test_a_scenario_drawn_from_a_seed_is_the_same_again_and_is_shrunk_to_what_fails() -> None:
@@ -164,7 +164,7 @@
     service, random_generator = DiscoveryModel(10.0, 1000), Random(1)
     times = sorted(random_generator.uniform(0.0, 10.0) for _ in range(600))
     begun = [at for at in times if service.ask(at) is not None]
-    assert 95 <= len(begun) <= 106 and most_in_span(begun)[0] <= 15
+    assert 95 <= len(begun) <= 106 and max_count_in_window(begun)[0] <= 15
     queue = DiscoveryModel(10.0, 1000, queue=20)
     assert [queue.ask(0.0) for _ in range(40)].count(None) == 15 and queue.ask(0.0) is None
 
@@ -248,24 +248,24 @@
 
 def seen() -> History:
     """A good second: one read, one order, each answered once."""
-    records = History(began=100.0, ended=110.0)
+    records = History(started_at=100.0, ended_at=110.0)
     records.process_events = [ProcessEvent(100.0, "p0", "launched")]
-    records.told = [ListEvent(100.5, "p0", (("c0", "SERVING"), ("c1", "SERVING")), True)]
-    records.pongs = [(100.6, "p0")]
-    records.tries = [
+    records.list_events = [ListEvent(100.5, "p0", (("c0", "SERVING"), ("c1", "SERVING")), True)]
+    records.proxy_ready_events = [(100.6, "p0")]
+    records.client_attempts = [
         ClientAttempt(101.0, "p0", "1", "read", 1.0),
         ClientAttempt(101.0, "p0", "2", "order", 1.0),
     ]
-    records.sends = [
+    records.upstream_sends = [
         UpstreamSend(101.01, "p0", "c0", "1", "read", "", 900.0),
         UpstreamSend(101.01, "p0", "c1", "2", "order", "m", 900.0),
     ]
-    records.outs = {0: 101.1, 1: 101.1}
-    records.runs = [
+    records.send_ended_at = {0: 101.1, 1: 101.1}
+    records.executions = [
         ServerExecution(101.01, "c0", "1", "read", ""),
         ServerExecution(101.01, "c1", "2", "order", "m"),
     ]
-    records.answers = [
+    records.client_answers = [
         ClientAnswer(101.1, "p0", "1", "completed"),
         ClientAnswer(101.1, "p0", "2", "completed"),
     ]
@@ -278,41 +278,65 @@
 
 def test_a_good_run_passes_and_says_how_much_it_judged() -> None:
     verdict = check_history(small(), seen())
-    assert verdict.word == "passed" and verdict.figures["tries_judged"] == 2 and verdict.figures["sends"] == 2
+    assert (
+        verdict.outcome == "passed" and verdict.figures["tries_judged"] == 2 and verdict.figures["sends"] == 2
+    )
 
 
 @pytest.mark.parametrize(
     "fault,rule",
     [
-        (lambda r: r.answers.pop(), "one answer"),
-        (lambda r: r.answers.append(ClientAnswer(101.2, "p0", "1", "completed")), "one answer"),
-        (lambda r: r.answers.append(ClientAnswer(101.2, "p0", "", "unowed")), "one answer"),
-        (lambda r: r.answers.__setitem__(0, ClientAnswer(102.2, "p0", "1", "completed")), "one answer"),
-        (lambda r: r.answers.__setitem__(0, ClientAnswer(101.2, "p0", "1", "another's")), "one answer"),
-        (lambda r: r.sends.append(UpstreamSend(102.3, "p0", "c0", "1", "read", "", 9.0)), "one answer"),
-        (lambda r: r.sends.append(UpstreamSend(102.3, "p0", "c0", "9", "read", "", 9.0)), "one answer"),
-        (lambda r: r.runs.append(ServerExecution(101.5, "c0", "2", "order", "m")), "effects"),
-        (lambda r: r.runs.append(ServerExecution(107.0, "c0", "3", "save", "m")), "effects"),
-        (lambda r: r.answers.__setitem__(1, ClientAnswer(101.2, "p0", "2", "exhausted")), "effects"),
-        (lambda r: r.sends.append(UpstreamSend(101.03, "p0", "c1", "1", "read", "", 9.0)), "effects"),
-        (lambda r: r.told.append(ListEvent(100.6, "p0", (("c0", "DRAINING"),), False)), "drains"),
-        (lambda r: r.told.append(ListEvent(100.6, "p0", (("c1", "SERVING"),), True)), "drains"),
-        (lambda r: r.sends.append(UpstreamSend(101.5, "p0", "c7", "1", "read", "", 9.0)), "drains"),
-        (lambda r: r.falls.append((101.0, "c0")), "cold caches"),
-        (lambda r: r.pongs.insert(0, (100.2, "p0")), "door"),
+        (lambda r: r.client_answers.pop(), "one answer"),
+        (lambda r: r.client_answers.append(ClientAnswer(101.2, "p0", "1", "completed")), "one answer"),
+        (lambda r: r.client_answers.append(ClientAnswer(101.2, "p0", "", "unowed")), "one answer"),
+        (
+            lambda r: r.client_answers.__setitem__(0, ClientAnswer(102.2, "p0", "1", "completed")),
+            "one answer",
+        ),
+        (
+            lambda r: r.client_answers.__setitem__(0, ClientAnswer(101.2, "p0", "1", "another's")),
+            "one answer",
+        ),
+        (
+            lambda r: r.upstream_sends.append(UpstreamSend(102.3, "p0", "c0", "1", "read", "", 9.0)),
+            "one answer",
+        ),
+        (
+            lambda r: r.upstream_sends.append(UpstreamSend(102.3, "p0", "c0", "9", "read", "", 9.0)),
+            "one answer",
+        ),
+        (lambda r: r.executions.append(ServerExecution(101.5, "c0", "2", "order", "m")), "effects"),
+        (lambda r: r.executions.append(ServerExecution(107.0, "c0", "3", "save", "m")), "effects"),
+        (lambda r: r.client_answers.__setitem__(1, ClientAnswer(101.2, "p0", "2", "exhausted")), "effects"),
+        (
+            lambda r: r.upstream_sends.append(UpstreamSend(101.03, "p0", "c1", "1", "read", "", 9.0)),
+            "effects",
+        ),
+        (lambda r: r.list_events.append(ListEvent(100.6, "p0", (("c0", "DRAINING"),), False)), "drains"),
+        (lambda r: r.list_events.append(ListEvent(100.6, "p0", (("c1", "SERVING"),), True)), "drains"),
+        (lambda r: r.upstream_sends.append(UpstreamSend(101.5, "p0", "c7", "1", "read", "", 9.0)), "drains"),
+        (lambda r: r.cache_collapses.append((101.0, "c0")), "cold caches"),
+        (lambda r: r.proxy_ready_events.insert(0, (100.2, "p0")), "door"),
         (lambda r: r.process_events.append(ProcessEvent(101.0, "p0", "exited", 1)), "crash"),
-        (lambda r: r.asked.extend(DiscoveryCall(101.0 + i / 100, "p0", "asked") for i in range(9)), "asks"),
         (
-            lambda r: r.hands.extend(
+            lambda r: r.discovery_calls.extend(
+                DiscoveryCall(101.0 + i / 100, "p0", "asked") for i in range(9)
+            ),
+            "asks",
+        ),
+        (
+            lambda r: r.connection_events.extend(
                 UpstreamConnectionEvent(101.0 + i / 100, "p0", "c0", not i % 2) for i in range(18)
             ),
             "handshakes",
         ),
         (
-            lambda r: r.hands.extend(UpstreamConnectionEvent(100.0 + i, "p0", "c0", True) for i in range(9)),
+            lambda r: r.connection_events.extend(
+                UpstreamConnectionEvent(100.0 + i, "p0", "c0", True) for i in range(9)
+            ),
             "connections",
         ),
-        (lambda r: r.fetches.extend((101.0, 102.0) for _ in range(4)), "fetches"),
+        (lambda r: r.origin_fetches.extend((101.0, 102.0) for _ in range(4)), "fetches"),
     ],
 )
 def test_the_checker_finds_each_break(fault: object, rule: str) -> None:
@@ -324,13 +348,13 @@
 
 def test_the_checker_finds_a_cold_cache_that_all_push() -> None:
     records = seen()
-    records.cold = {"c0": [101.0]}
-    records.tries += [ClientAttempt(101.0, "p0", f"x{i}", "read", 5.0) for i in range(9000)]
-    records.answers += [ClientAnswer(103.0, "p0", f"x{i}", "completed") for i in range(9000)]
-    records.sends += [
+    records.cold_starts = {"c0": [101.0]}
+    records.client_attempts += [ClientAttempt(101.0, "p0", f"x{i}", "read", 5.0) for i in range(9000)]
+    records.client_answers += [ClientAnswer(103.0, "p0", f"x{i}", "completed") for i in range(9000)]
+    records.upstream_sends += [
         UpstreamSend(101.0 + i / 4500, "p0", "c0", f"x{i}", "read", "", 900.0) for i in range(9000)
     ]
-    records.outs |= {place: 103.0 for place in range(2, 9002)}
+    records.send_ended_at |= {place: 103.0 for place in range(2, 9002)}
     assert rules(records) == {"cold caches"}
 
 
@@ -344,7 +368,7 @@
 
 def test_what_a_dead_or_stopped_proxy_owed_is_not_judged() -> None:
     records = seen()
-    records.answers.clear()
+    records.client_answers.clear()
     records.process_events.append(ProcessEvent(101.02, "p0", "killed"))
     verdict = check_history(small(), records)
     assert not verdict.findings and verdict.figures["tries_exempt"] == 2
@@ -352,14 +376,16 @@
 
 def test_a_machine_too_busy_to_tell_voids_the_run() -> None:
     records = seen()
-    records.lags = [(101.0, 2.0)]
-    assert check_history(small(), records).word == "void"
+    records.testbed_lags = [(101.0, 2.0)]
+    assert check_history(small(), records).outcome == "void"
     records = seen()
-    records.waits = [(100.5, 0.9), (103.0, 0.2)]
-    assert check_history(small(), records).word == "passed"  # before anybody asked
-    records.waits.append((104.0, 0.9))
-    assert check_history(small(), records).word == "void"
-    assert check_history(small(), History(began=0.0, ended=9.0)).word == "void"  # quiet is not good
+    records.core_waits = [(100.5, 0.9), (103.0, 0.2)]
+    assert check_history(small(), records).outcome == "passed"  # before anybody asked
+    records.core_waits.append((104.0, 0.9))
+    assert check_history(small(), records).outcome == "void"
+    assert (
+        check_history(small(), History(started_at=0.0, ended_at=9.0)).outcome == "void"
+    )  # quiet is not good
 
 
 def test_two_out_at_once_are_told_from_two_that_a_late_stage_saw_in_the_wrong_order() -> None:
@@ -367,9 +393,9 @@
 
     def overlapping(*lags: tuple[float, float]) -> set[str]:
         records = seen()
-        records.sends.append(UpstreamSend(101.05, "p0", "c1", "1", "read", "", 900.0))
-        records.outs = {0: 101.095, 1: 101.1, 2: 101.1}
-        records.lags = list(lags)
+        records.upstream_sends.append(UpstreamSend(101.05, "p0", "c1", "1", "read", "", 900.0))
+        records.send_ended_at = {0: 101.095, 1: 101.1, 2: 101.1}
+        records.testbed_lags = list(lags)
         return rules(records)
 
     assert overlapping((101.09, 0.02)) == set() == overlapping((101.1, 0.04))
@@ -382,12 +408,12 @@
     async def late() -> list[float]:
         stage = ScenarioRunner(small(), tmp_path)
         stage.loop = asyncio.get_running_loop()
-        stage.expected = stage.loop.time()
-        stage.look()
+        stage.next_lag_check_at = stage.loop.time()
+        stage.measure_lag()
         await asyncio.sleep(0.03)
         time.sleep(0.045)
         await asyncio.sleep(0.03)
-        return [lag for _, lag in stage.records.lags]
+        return [lag for _, lag in stage.history.testbed_lags]
 
     assert max(asyncio.run(late())) > 0.02
 
@@ -399,7 +425,7 @@
     async def run() -> dict[int, float]:
         stage = ScenarioRunner(small(fleet={"proxies": 4, "caches": 3, "speak": False}), tmp_path)
         stage.loop = asyncio.get_running_loop()
-        stage.open()
+        stage.build_servers()
         stand = stage.caches["c0"]
         await stand.open()
         stand.sizes = lambda key: 8 << 20
@@ -414,19 +440,19 @@
                 peer, b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in command)
             )
         while (
-            0 not in stage.records.outs
-            or not stage.wires
-            or not next(iter(stage.wires)).transport.get_write_buffer_size()
+            0 not in stage.history.send_ended_at
+            or not stage.connections
+            or not next(iter(stage.connections)).transport.get_write_buffer_size()
         ):
             await asyncio.sleep(0.01)
-        wire = next(iter(stage.wires))
+        wire = next(iter(stage.connections))
         wire.outs[7] = None  # another, that waits behind what is written
         if shut:
             peer.shutdown(socket.SHUT_RDWR)
         await asyncio.sleep(0.1)
         assert wire.transport.get_write_buffer_size() or not shut
         peer.close()
-        return dict(stage.records.outs)
+        return dict(stage.history.send_ended_at)
 
     assert (7 in asyncio.run(run())) is shut
 
@@ -434,16 +460,16 @@
 def test_what_proxies_waited_for_a_core_in_an_rpcs_own_seconds_is_nobodys() -> None:
     """Answers given while other proxies were still starting were held to the slack of the time after."""
     records = seen()
-    records.answers[0] = ClientAnswer(102.2, "p0", "1", "completed")  # a fifth of a second late
-    records.waits = [(100.9, 0.4)]  # over before it came
+    records.client_answers[0] = ClientAnswer(102.2, "p0", "1", "completed")  # a fifth of a second late
+    records.core_waits = [(100.9, 0.4)]  # over before it came
     assert rules(records) == {"one answer"}
-    records.waits = [(101.6, 0.4)]  # in the second in which the first RPC came
+    records.core_waits = [(101.6, 0.4)]  # in the second in which the first RPC came
     assert not rules(records)
 
 
 def test_the_most_in_any_second_and_at_one_time() -> None:
-    assert most_in_span([0.0, 0.5, 0.9, 1.2, 1.4, 5.0])[0] == 4
-    assert most_held([0.0, 1.0, 2.0], [1.0, 3.0]) == (2, 2.0)
+    assert max_count_in_window([0.0, 0.5, 0.9, 1.2, 1.4, 5.0])[0] == 4
+    assert max_concurrent([0.0, 1.0, 2.0], [1.0, 3.0]) == (2, 2.0)
 
 
 # Processes
@@ -463,9 +489,9 @@
         operator.start()
         verdict = asyncio.run(stage.run())
         operator.join(3.0)
-        if not verdict.void:
+        if not verdict.void_reason:
             break
-    return verdict, stage.records
+    return verdict, stage.history
 
 
 @SECOND
@@ -530,7 +556,7 @@
     found: dict[str, set[str]] = {}
     for finding in verdict.findings:
         found.setdefault(finding.proxy, set()).add(finding.rule)
-    assert not verdict.void and found.keys() == {f"p{number}" for number in range(5)}, found
+    assert not verdict.void_reason and found.keys() == {f"p{number}" for number in range(5)}, found
     for number, rule in enumerate(CAUGHT.values()):
         assert rule in found[f"p{number}"], (rule, found)
 
@@ -586,7 +612,7 @@
         }
         os.environ["PYTHONPATH"] = str(FAULTY_PROXY_SCRIPT.parent.parent)
         verdict, _ = played(plan, tmp_path / variant, commands=commands)
-        assert not verdict.void and rule in {finding.rule for finding in verdict.findings}, variant
+        assert not verdict.void_reason and rule in {finding.rule for finding in verdict.findings}, variant
 
 
 AGREEING = {
@@ -616,12 +642,16 @@
 ) -> None:
     """No order goes to a zone that a version forbids later than D after a majority was handed it."""
     verdict, records = played(scenario.parse_scenario(AGREEING, "agreeing"), tmp_path)
-    assert verdict.word == "passed", (verdict.void, verdict.findings[:5])
+    assert verdict.outcome == "passed", (verdict.void_reason, verdict.findings[:5])
     assert verdict.figures["versions"] == 4 and verdict.figures["orders_judged"] > 100
     # Some orders fall into the leases that run out, so that the bound is met by something.
     assert 0.0 < verdict.figures["forbidden_longest_s"] <= 2.0 * 1.01**2 + 0.5
-    late = [send for send in records.sends if send.method == "order" and send.at > records.began + 15.0]
-    assert {records.zones[send.cache] for send in late} == {"b"}  # what was agreed on before goes on
+    late = [
+        send
+        for send in records.upstream_sends
+        if send.method == "order" and send.at > records.started_at + 15.0
+    ]
+    assert {records.cache_zones[send.cache] for send in late} == {"b"}  # what was agreed on before goes on
 
 
 @FIRST
@@ -658,7 +688,7 @@
         for number, name in ((3, "never_halts"), (7, "tries_unasked"))
     }
     verdict, _ = played(scenario.parse_scenario(plan, "trying"), tmp_path, commands=commands)
-    assert not verdict.void and {(f.rule, f.proxy) for f in verdict.findings} == {
+    assert not verdict.void_reason and {(f.rule, f.proxy) for f in verdict.findings} == {
         ("trials", "p3"),
         ("trials", "p7"),
     }, verdict.findings[:5]
@@ -684,7 +714,7 @@
 
     def operate(stage: ScenarioRunner) -> None:
         time.sleep(7.0)
-        run, offices = CliRunner(), stage.offices[:7]
+        run, offices = CliRunner(), stage.operator_addresses[:7]
         source = f"{address(0)}:{stage.service.port}"
         for name, bad in (("bad", True), ("good", False)):
             file = tmp_path / f"{name}.json"
@@ -711,7 +741,7 @@
         said["fleet"] = run.invoke(main, ["fleet", "status", *offices])
 
     verdict, _ = played(plan, tmp_path, beside=operate)
-    assert not verdict.void and not verdict.findings, (verdict.void, verdict.findings[:5])
+    assert not verdict.void_reason and not verdict.findings, (verdict.void_reason, verdict.findings[:5])
     assert said["bad"].exit_code == 1 and "halted" in said["bad"].output, said["bad"].output
     assert said["good"].exit_code == 0, said["good"].output
     assert said["status"].exit_code == 0, said["status"].output
@@ -737,7 +767,7 @@
         time.sleep(11.0)
         while not stage.stopping:
             for one, seen in parts.items():
-                host, _, port = stage.offices[one].partition(":")
+                host, _, port = stage.operator_addresses[one].partition(":")
                 with suppress(OSError), socket.create_connection((host, int(port)), 1.0) as call:
                     call.sendall(b"limits\n")
                     said = call.makefile().read()
@@ -745,7 +775,7 @@
             time.sleep(1.0)
 
     verdict, _ = played(scenario.parse_scenario(plan, "tenant"), tmp_path, beside=look)
-    assert verdict.word == "passed", (verdict.void, verdict.findings[:5])
+    assert verdict.outcome == "passed", (verdict.void_reason, verdict.findings[:5])
     # Each owns an eighth. What they have together, that others lent, in the middle of all looks.
     sums = sorted(map(sum, zip(*parts.values(), strict=False)))
     assert len(sums) >= 4 and 0.8 < sums[len(sums) // 2] <= 1.001, parts
@@ -757,7 +787,7 @@
 ) -> None:
     """Twelve processes: clients move, owners are stopped past their loans, a third restarts, cuts."""
     verdict, _ = played(scenario.load_scenario("limits-lent"), tmp_path)
-    assert verdict.word == "passed", (verdict.void, verdict.findings[:5])
+    assert verdict.outcome == "passed", (verdict.void_reason, verdict.findings[:5])
     assert verdict.figures["fetches"] > 300 and verdict.figures["tries_judged"] > 1500
 
 
@@ -778,7 +808,7 @@
         tmp_path,
         commands={1: [sys.executable, str(FAULTY_PROXY_SCRIPT), "lies_of_caches", "serve"]},
     )
-    assert verdict.word == "passed", (verdict.void, verdict.findings[:5])
+    assert verdict.outcome == "passed", (verdict.void_reason, verdict.findings[:5])
     assert 0.0 < verdict.figures["sick_sent"] <= 0.75 and 0.0 < verdict.figures["sick_large_sent"] <= 0.75
 
 
@@ -803,7 +833,7 @@
         "late",
     )
     verdict, _ = played(plan, tmp_path)
-    assert verdict.word == "passed", (verdict.void, verdict.findings[:5])
+    assert verdict.outcome == "passed", (verdict.void_reason, verdict.findings[:5])
     assert 0.0 < verdict.figures["drain_told_all_s"] < 4.0
 
 
@@ -830,8 +860,8 @@
         "down",
     )
     verdict, records = played(plan, tmp_path)
-    assert verdict.word == "passed", (verdict.void, verdict.findings[:5])
-    first = min(at for at, _ in records.pongs) - records.began
+    assert verdict.outcome == "passed", (verdict.void_reason, verdict.findings[:5])
+    first = min(at for at, _ in records.proxy_ready_events) - records.started_at
     assert first > (2.0 if agents else 3.0)
 
 
@@ -854,7 +884,7 @@
         "early",
     )
     verdict, records = played(plan, tmp_path)
-    assert verdict.word == "passed", (verdict.void, verdict.findings[:5])
+    assert verdict.outcome == "passed", (verdict.void_reason, verdict.findings[:5])
     assert [
         (process_event.proxy, process_event.code)
         for process_event in records.process_events
@@ -895,5 +925,5 @@
         "mixed",
     )
     verdict, _ = asyncio.run(asyncio.to_thread(played, plan, tmp_path))
-    assert verdict.word == "passed", (verdict.void, verdict.findings[:5])
+    assert verdict.outcome == "passed", (verdict.void_reason, verdict.findings[:5])
     assert verdict.figures["tries_judged"] > 300 and verdict.figures["lives"] == 14
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -34,7 +34,7 @@
 from calicofall.startup.contention import ANSWER_TIMEOUT_S, MAX_SAMPLE_SIZE, ContentionEstimate, sample_size
 from calicofall.startup.discovery_schedule import MAX_BACKOFF_S, DiscoverySchedule
 from calicofall.startup.time_slots import TimeSlots
-from calicofall.testbed.checker import most_in_span
+from calicofall.testbed.checker import max_count_in_window
 from calicofall.testbed.startup_simulation import Span, StartupScenario, StartupSimulation
 
 # Time slots
@@ -53,7 +53,7 @@
             assert now - 1e-9 <= taken[-1] < now + proxies / rate + 1e-9
             now = taken[-1] + 0.5 / rate
     for span in (1.0, 2.0):
-        assert most_in_span(taken, span)[0] <= rate * span + 1
+        assert max_count_in_window(taken, span)[0] <= rate * span + 1
 
 
 def test_time_slots_with_clock_differences_exceed_the_rate_by_the_difference_only() -> None:
@@ -66,7 +66,7 @@
         TimeSlots(number, 200, rate, 0.0, 7_000.0 + random.uniform(0.0, difference_s)).next_slot_at(1.0)
         for number in range(200)
     ]
-    assert most_in_span(taken)[0] <= rate * (1.0 + 2.0 * difference_s) + 1
+    assert max_count_in_window(taken)[0] <= rate * (1.0 + 2.0 * difference_s) + 1
 
 
 def test_time_slot_of_a_stopped_process_is_expired() -> None:
@@ -149,7 +149,7 @@
 def test_discovery_schedule_spreads_first_backoffs_after_refusals() -> None:
     """Without the jitter, 200 proxies refused in one second retry in one second, again and again."""
     attempts = [DiscoverySchedule(Random(seed), 200).retry_at_after_refusal(0.0) for seed in range(200)]
-    assert most_in_span(attempts, 0.5)[0] < 50
+    assert max_count_in_window(attempts, 0.5)[0] < 50
     assert max(attempts) <= 5.5
 
 
@@ -309,7 +309,7 @@
 def test_time_slots_with_half_the_number_of_proxies_configured_double_the_rate_at_most() -> None:
     """Each number belongs to two proxies, so that the rate at the service doubles at most."""
     slots = [TimeSlots(number % 100, 100, 10.0, 0.0, 7_000.0).next_slot_at(1.0) for number in range(200)]
-    assert most_in_span(slots)[0] <= 2 * (10 + 1)
+    assert max_count_in_window(slots)[0] <= 2 * (10 + 1)
 
 
 # Peer messages
@@ -406,7 +406,7 @@
             now = quotas.take_slot("c1", 12345, now, now + 7_000.0)
             opened_at.append(now)
         assert quotas.max_connections == 4
-    assert most_in_span(opened_at)[0] <= 26
+    assert max_count_in_window(opened_at)[0] <= 26
     assert len(opened_at) > 240
 
 
