--- a/calicofall/testbed/checker.py
+++ b/calicofall/testbed/checker.py
@@ -1,7 +1,13 @@
-"""The referee: the four rules and the stated bounds, from what caches, service and clients saw.
+"""Checks the history of a run against the four rules and the bounds that the scenario states.
 
-Owns the verdict. Must never ask a proxy, share code with what it judges, pass a run on a machine too busy to
-tell, or take a quiet run for a good one: it says how much it has judged.
+The checker sees only what the emulated caches, origin and discovery service and the clients recorded. The
+four rules are: each attempt of a client gets exactly one answer, side effects happen as the method's
+idempotency allows, draining caches get no new requests, and cold caches are not overloaded.
+
+Invariants:
+    No proxy is queried, and no code is shared with the proxy, so that a fault in it cannot hide itself.
+    A run on a machine that was too busy to tell is void, and so is a run without answers to check: the
+    figures state how much was checked.
 """
 
 from bisect import bisect_right
@@ -12,610 +18,758 @@
 from calicofall.testbed.history import History, UpstreamSend
 from calicofall.testbed.scenario import Scenario
 
-SLACK = 0.05  # s, as the protocol page has it on sockets
-GRACE = 0.25  # s after a proxy was told that a cache drains or is gone
-WINDOW = 5.0  # s in which a deduped write may run again, by its group's caches
-CROSS = 0.03  # s by which two connections of one proxy may be seen in the wrong order
-LAG = 0.75  # s that the stage itself may be late; over it nothing can be told
-WAITED = 0.5  # s of a second that any proxy may have waited for a core, while RPCs came
-STALE = 6.0  # s after which what the service has to tell is held against a proxy, heard or not
-LESS = 0.75  # of what it was sent, that a sick cache may still be sent
-BEFORE = 5.0  # s before a cache turns sick, as the measure
-LARGE = " (large answers)"
-TOLD = 8  # answers from which a part of them says something
-EDGE = 0.1  # of a bound a second: where the stage's own lateness may have put two seconds into one
+BASE_TOLERANCE_S = 0.05  # the protocol's allowance for times that are measured on sockets
+DRAIN_GRACE_S = 0.25  # after a proxy was notified that a cache drains or is removed
+DEDUPLICATION_WINDOW_S = 5.0  # in which the caches of a group may execute a deduplicated write again
+MAX_REORDERING_S = 0.03  # by which events on two connections of one proxy may be seen in the wrong order
+MAX_TESTBED_LAG_S = 0.75  # of the testbed itself; above it the run is void
+MAX_CORE_WAIT_S = 0.5  # in a second, of any proxy while requests arrive; above it the run is void
+STALE_LIST_S = 6.0  # after which a proxy is accountable for a list event, whether it received it or not
+MAX_SICK_SEND_RATIO = 0.75  # of its earlier rate of requests, that a sick cache may still be sent
+BASELINE_SPAN_S = 5.0  # before a cache turns sick, in which its earlier rate of requests is measured
+LARGE_RESPONSES_SUFFIX = " (large answers)"
+MIN_SAMPLES = 8  # answers or sends from which on a share of them is meaningful
+RATE_TOLERANCE = 0.1  # share of a rate bound: the testbed's lateness may move events into another second
 
 
 class Finding(NamedTuple):
+    """A violation of a rule or bound."""
+
     rule: str
     proxy: str
-    at: float  # s since the beginning
+    at: float  # s since the start of the run
     what: str
 
 
 class Verdict(NamedTuple):
+    """The result of checking a run."""
+
     passed: bool
-    void_reason: str  # why nothing can be told; empty: it can
+    void_reason: str  # why the run cannot be judged; empty: it can
     findings: list[Finding]
     figures: dict[str, Any]
 
     @property
     def outcome(self) -> str:
+        """`void`, `passed` or `broken`."""
         return "void" if self.void_reason else "passed" if self.passed else "broken"
 
 
-def max_count_in_window(times: Iterable[float], span: float = 1.0) -> tuple[int, float]:
-    """The most in any span, and when it began."""
-    held: list[float] = []
-    most, when, first = 0, 0.0, 0
+def max_count_in_window(times: Iterable[float], window_s: float = 1.0) -> tuple[int, float]:
+    """Return the highest number of events in any window of this length, and when that window began."""
+    ordered: list[float] = []
+    highest, began_at, first = 0, 0.0, 0
     for at in sorted(times):
-        held.append(at)
-        while held[first] <= at - span:
+        ordered.append(at)
+        while ordered[first] <= at - window_s:
             first += 1
-        if len(held) - first > most:
-            most, when = len(held) - first, held[first]
-    return most, when
+        if len(ordered) - first > highest:
+            highest, began_at = len(ordered) - first, ordered[first]
+    return highest, began_at
 
 
 def max_concurrent(begins: list[float], ends: list[float]) -> tuple[int, float]:
-    """The most at one time, and when."""
-    steps = sorted([(at, 1) for at in begins] + [(at, -1) for at in ends])
-    most, count, when = 0, 0, 0.0
-    for at, step in steps:
-        count += step
-        if count > most:
-            most, when = count, at
-    return most, when
+    """Return the highest number of intervals that overlap at one time, and when that was first reached."""
+    changes = sorted([(at, 1) for at in begins] + [(at, -1) for at in ends])
+    highest, count, reached_at = 0, 0, 0.0
+    for at, change in changes:
+        count += change
+        if count > highest:
+            highest, reached_at = count, at
+    return highest, reached_at
 
 
 class HistoryChecker:
-    def __init__(self, scenario: Scenario, records: History) -> None:
-        self.scenario, self.records = scenario, records
+    """Checks one history; collects findings and figures.
+
+    Attributes:
+        findings: Violations in the order in which the checks found them.
+        figures: What was measured, by the names that result.json stores.
+        testbed_lag_s: The highest lag of the testbed that is above the base tolerance; 0: none was.
+        core_wait_s: The longest time in a second that a proxy waited for a core while requests arrived.
+        tolerance_s: Lateness that is not held against a proxy.
+        unavailable_spans: By proxy: from when to when it was dead or stopped, s on the monotonic clock.
+    """
+
+    def __init__(self, scenario: Scenario, history: History) -> None:
+        self.scenario, self.history = scenario, history
         self.findings: list[Finding] = []
         self.figures: dict[str, Any] = {}
-        # Up to that, SLACK has room for it.
-        self.lag = max([lag for _, lag in records.testbed_lags if lag > SLACK], default=0.0)
-        first = min([attempt.at for attempt in records.client_attempts], default=float("inf"))
-        self.waited = max([part for at, part in records.core_waits if at - 1.0 > first], default=0.0)
-        # What the machine made late is nobody's: the stage's own lateness, proxies' wait for a core.
-        self.slack = SLACK + self.lag + self.waited
-        # By proxy: spans in which it could not act, for it was dead or stopped.
-        self.away: dict[str, list[tuple[float, float]]] = defaultdict(list)
+        # Smaller lags are covered by the base tolerance.
+        self.testbed_lag_s = max(
+            [lag for _, lag in history.testbed_lags if lag > BASE_TOLERANCE_S], default=0.0
+        )
+        first = min([attempt.at for attempt in history.client_attempts], default=float("inf"))
+        self.core_wait_s = max([wait for at, wait in history.core_waits if at - 1.0 > first], default=0.0)
+        # Delays caused by the machine, in the testbed or while proxies wait for a core, are not held against
+        # any proxy.
+        self.tolerance_s = BASE_TOLERANCE_S + self.testbed_lag_s + self.core_wait_s
+        self.unavailable_spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
         since: dict[str, float] = {}
-        for process_event in sorted(records.process_events):
+        for process_event in sorted(history.process_events):
             if process_event.what in ("killed", "stopped", "termed", "exited"):
                 since.setdefault(process_event.proxy, process_event.at)
             elif process_event.what in ("woken", "launched") and process_event.proxy in since:
-                self.away[process_event.proxy].append((since.pop(process_event.proxy), process_event.at))
+                self.unavailable_spans[process_event.proxy].append(
+                    (since.pop(process_event.proxy), process_event.at)
+                )
         for proxy, at in since.items():
-            self.away[proxy].append((at, float("inf")))
+            self.unavailable_spans[proxy].append((at, float("inf")))
 
-    def say(self, rule: str, proxy: str, at: float, what: str) -> None:
-        self.findings.append(Finding(rule, proxy, round(at - self.records.started_at, 3), what))
+    def add_finding(self, rule: str, proxy: str, at: float, what: str) -> None:
+        """Add a violation; `at` is a time on the monotonic clock (s)."""
+        self.findings.append(Finding(rule, proxy, round(at - self.history.started_at, 3), what))
 
-    def late(self, begin: float, end: float) -> float:
-        """What is nobody's of the time between two moments (s): all that proxies waited for a core meanwhile.
+    def tolerance_between(self, begin: float, end: float) -> float:
+        """Return the lateness (s) that is not held against a proxy between two times.
 
-        Guards against blaming proxies that answer while others start, before the span that is judged whole.
+        Adds up all waits for a core in that interval. `core_wait_s` alone leaves out the time before the
+        first attempt, so proxies that answer while others are still starting would be blamed.
         """
-        waited = sum(part for at, part in self.records.core_waits if at > begin and at - 1.0 < end)
-        return max(self.slack, SLACK + self.lag + waited)
+        waited = sum(wait for at, wait in self.history.core_waits if at > begin and at - 1.0 < end)
+        return max(self.tolerance_s, BASE_TOLERANCE_S + self.testbed_lag_s + waited)
 
-    def behind(self, begin: float, end: float) -> float:
-        """How late the stage itself was in what it saw between two moments (s), at most."""
+    def testbed_lag_between(self, begin: float, end: float) -> float:
+        """Return the highest lag of the testbed itself (s) in what it saw between two times."""
         return max(
-            (lag for at, lag in self.records.testbed_lags if at >= begin and at - lag - CROSS <= end),
+            (
+                lag
+                for at, lag in self.history.testbed_lags
+                if at >= begin and at - lag - MAX_REORDERING_S <= end
+            ),
             default=0.0,
         )
 
-    def gone(self, proxy: str, begin: float, end: float) -> bool:
-        return any(begin <= back and away <= end for away, back in self.away[proxy])
-
-    def judge(self) -> Verdict:
-        for part in (
-            self.one_answer,
-            self.effects,
-            self.drains,
-            self.cold,
-            self.service,
-            self.shares,
-            self.flights,
-            self.versions,
-            self.trials,
-            self.verdicts,
-            self.served,
-            self.crashes,
+    def was_unavailable(self, proxy: str, begin: float, end: float) -> bool:
+        """Return whether the proxy was dead or stopped at any time between two times."""
+        return any(begin <= back and away <= end for away, back in self.unavailable_spans[proxy])
+
+    def check(self) -> Verdict:
+        """Run all checks and return the verdict."""
+        for check in (
+            self.check_answers,
+            self.check_side_effects,
+            self.check_drains,
+            self.check_cold_caches,
+            self.check_discovery,
+            self.check_capacity,
+            self.check_in_flight,
+            self.check_versions,
+            self.check_canaries,
+            self.check_sick_caches,
+            self.check_served,
+            self.check_exits,
         ):
-            part()
+            check()
         self.figures |= {
-            "lag_s": round(self.lag, 3),
-            "waited_for_core": round(self.waited, 3),
-            "faults": [what for *_, what in self.records.injected_faults],
-            "sends": len(self.records.upstream_sends),
-            "answers": len(self.records.client_answers),
+            "lag_s": round(self.testbed_lag_s, 3),
+            "waited_for_core": round(self.core_wait_s, 3),
+            "faults": [what for *_, what in self.history.injected_faults],
+            "sends": len(self.history.upstream_sends),
+            "answers": len(self.history.client_answers),
         }
-        self.costs()
-        void = ""
-        if self.lag > LAG:
-            void = f"the stage was late by {self.lag:.2f} s"
-        elif self.waited > WAITED:
-            void = f"a proxy waited {self.waited:.2f} s of a second for a core"
-        elif not self.records.client_answers and not self.scenario.must.served:
-            void = "no answer was judged"
+        self.record_costs()
+        void_reason = ""
+        if self.testbed_lag_s > MAX_TESTBED_LAG_S:
+            void_reason = f"the testbed was late by {self.testbed_lag_s:.2f} s"
+        elif self.core_wait_s > MAX_CORE_WAIT_S:
+            void_reason = f"a proxy waited {self.core_wait_s:.2f} s of a second for a core"
+        elif not self.history.client_answers and not self.scenario.must.served:
+            void_reason = "no answer was judged"
         return Verdict(
-            not self.findings and not void, void, sorted(self.findings, key=lambda f: f.at), self.figures
+            not self.findings and not void_reason,
+            void_reason,
+            sorted(self.findings, key=lambda f: f.at),
+            self.figures,
         )
 
     # The four rules
 
-    def one_answer(self) -> None:
+    def check_answers(self) -> None:
+        """Check that each attempt of a client gets exactly one answer, its own and in time.
+
+        Attempts of proxies that were dead or stopped, and those whose deadline is after the end of the run,
+        are not judged.
+        """
         answers: dict[str, list] = defaultdict(list)
-        for answer in self.records.client_answers:
+        for answer in self.history.client_answers:
             if answer.id:
                 answers[answer.id].append(answer)
             else:
-                self.say("one answer", answer.proxy, answer.at, "an answer where none was owed")
-        until, judged, exempt = {}, 0, 0
-        sent = {send.id for send in self.records.upstream_sends}
-        for attempt in self.records.client_attempts:
-            until[attempt.id] = attempt.at + attempt.deadline_s
-            got = answers.get(attempt.id, [])
-            last = got[0].at if got else attempt.at + attempt.deadline_s + SLACK
-            if self.gone(attempt.proxy, attempt.at - SLACK, last):
+                self.add_finding(
+                    "one answer", answer.proxy, answer.at, "an answer without a command that waits for it"
+                )
+        deadlines, judged, exempt = {}, 0, 0
+        sent = {send.id for send in self.history.upstream_sends}
+        for attempt in self.history.client_attempts:
+            deadlines[attempt.id] = attempt.at + attempt.deadline_s
+            received = answers.get(attempt.id, [])
+            ended_at = received[0].at if received else attempt.at + attempt.deadline_s + BASE_TOLERANCE_S
+            if self.was_unavailable(attempt.proxy, attempt.at - BASE_TOLERANCE_S, ended_at):
                 exempt += 1
                 continue
-            slack = self.late(attempt.at, last)
-            if attempt.at + attempt.deadline_s + slack > self.records.ended_at:
+            tolerance = self.tolerance_between(attempt.at, ended_at)
+            if attempt.at + attempt.deadline_s + tolerance > self.history.ended_at:
                 continue
             judged += 1
-            if not got or got[0].kind == "none":
-                self.say("one answer", attempt.proxy, attempt.at, f"{attempt.id}: no answer")
-            elif got[0].kind == "closed" or (got[0].kind == "crossed" and attempt.id in sent):
-                self.say("one answer", attempt.proxy, got[0].at, f"{attempt.id}: closed without an answer")
-            elif got[0].kind == "another's":
-                self.say("one answer", attempt.proxy, got[0].at, f"{attempt.id}: a value made for another")
-            elif got[0].at > until[attempt.id] + slack:
-                self.say("one answer", attempt.proxy, got[0].at, f"{attempt.id}: answered late")
-            if len(got) > 1:
-                self.say("one answer", attempt.proxy, got[1].at, f"{attempt.id}: answered twice")
-        for send in self.records.upstream_sends:
-            if send.id not in until:
-                self.say("one answer", send.proxy, send.at, f"{send.id}: sent, though no client asked")
-            elif send.at > until[send.id] + self.late(until[send.id], send.at) and not self.gone(
-                send.proxy, until[send.id], send.at
-            ):
-                self.say("one answer", send.proxy, send.at, f"{send.id}: sent after its time")
+            if not received or received[0].kind == "none":
+                self.add_finding("one answer", attempt.proxy, attempt.at, f"{attempt.id}: no answer")
+            elif received[0].kind == "closed" or (received[0].kind == "crossed" and attempt.id in sent):
+                self.add_finding(
+                    "one answer",
+                    attempt.proxy,
+                    received[0].at,
+                    f"{attempt.id}: closed without an answer",
+                )
+            elif received[0].kind == "another's":
+                self.add_finding(
+                    "one answer", attempt.proxy, received[0].at, f"{attempt.id}: the value of another attempt"
+                )
+            elif received[0].at > deadlines[attempt.id] + tolerance:
+                self.add_finding(
+                    "one answer", attempt.proxy, received[0].at, f"{attempt.id}: answered after its deadline"
+                )
+            if len(received) > 1:
+                self.add_finding("one answer", attempt.proxy, received[1].at, f"{attempt.id}: answered twice")
+        for send in self.history.upstream_sends:
+            if send.id not in deadlines:
+                self.add_finding(
+                    "one answer", send.proxy, send.at, f"{send.id}: sent, though no client asked"
+                )
+            elif send.at > deadlines[send.id] + self.tolerance_between(
+                deadlines[send.id], send.at
+            ) and not self.was_unavailable(send.proxy, deadlines[send.id], send.at):
+                self.add_finding("one answer", send.proxy, send.at, f"{send.id}: sent after its deadline")
         self.figures |= {"tries_judged": judged, "tries_exempt": exempt}
 
-    def effects(self) -> None:
-        runs: dict[str, list] = defaultdict(list)
-        marks: dict[str, list] = defaultdict(list)
-        for run in self.records.executions:
-            runs[run.id].append(run)
-            if run.idempotency_key:
-                marks[run.idempotency_key].append(run)
+    def check_side_effects(self) -> None:
+        """Check that commands run as often as their method allows, and are in flight once at a time."""
+        executions: dict[str, list] = defaultdict(list)
+        executions_by_key: dict[str, list] = defaultdict(list)
+        for execution in self.history.executions:
+            executions[execution.id].append(execution)
+            if execution.idempotency_key:
+                executions_by_key[execution.idempotency_key].append(execution)
         sends: dict[str, list[tuple[UpstreamSend, float]]] = defaultdict(list)
-        for place, send in enumerate(self.records.upstream_sends):
-            sends[send.id].append((send, self.records.send_ended_at.get(place, self.records.ended_at)))
-        proxy = {send.id: send.proxy for send in self.records.upstream_sends}
-        for name, ran in runs.items():
+        for index, send in enumerate(self.history.upstream_sends):
+            sends[send.id].append((send, self.history.send_ended_at.get(index, self.history.ended_at)))
+        proxy = {send.id: send.proxy for send in self.history.upstream_sends}
+        for name, ran in executions.items():
             if ran[0].method == "order" and len(ran) > 1:
-                self.say("effects", proxy[name], ran[1].at, f"{name}: non-retriable, ran {len(ran)} times")
-        for mark, ran in marks.items():
-            if max(run.at for run in ran) - min(run.at for run in ran) > WINDOW + self.slack:
-                self.say("effects", proxy[ran[0].id], ran[-1].at, f"{mark}: ran again after its window")
-        for answer in self.records.client_answers:
-            ran = runs.get(answer.id)
+                self.add_finding(
+                    "effects", proxy[name], ran[1].at, f"{name}: non-retriable, ran {len(ran)} times"
+                )
+        for key, ran in executions_by_key.items():
+            if (
+                max(execution.at for execution in ran) - min(execution.at for execution in ran)
+                > DEDUPLICATION_WINDOW_S + self.tolerance_s
+            ):
+                self.add_finding(
+                    "effects",
+                    proxy[ran[0].id],
+                    ran[-1].at,
+                    f"{key}: executed again after its deduplication window",
+                )
+        for answer in self.history.client_answers:
+            ran = executions.get(answer.id)
             if ran and answer.kind == "exhausted" and ran[0].method == "order":
-                self.say("effects", answer.proxy, answer.at, f"{answer.id}: exhausted, though it ran")
-        for name, out in sends.items():
-            for (_, before), (send, _) in zip(out, out[1:], strict=False):
-                if send.at < before - CROSS - self.behind(send.at, before):
-                    self.say("effects", send.proxy, send.at, f"{name}: two out at once")
-        self.figures["most_sends"] = max([len(out) for out in sends.values()], default=0)
-
-    def drains(self) -> None:
-        """Nothing new to a cache past the grace after its proxy was told that it drains or is gone."""
+                self.add_finding(
+                    "effects",
+                    answer.proxy,
+                    answer.at,
+                    f"{answer.id}: answered as exhausted, but it was executed",
+                )
+        for name, attempts in sends.items():
+            for (_, previous_end), (send, _) in zip(attempts, attempts[1:], strict=False):
+                if send.at < previous_end - MAX_REORDERING_S - self.testbed_lag_between(
+                    send.at, previous_end
+                ):
+                    self.add_finding(
+                        "effects", send.proxy, send.at, f"{name}: two attempts in flight at once"
+                    )
+        self.figures["most_sends"] = max([len(attempts) for attempts in sends.values()], default=0)
+
+    def check_drains(self) -> None:
+        """Check that a proxy sends a cache nothing later than the grace after it was notified of its drain.
+
+        The removal of a cache counts like a drain. A proxy without a snapshot sends only to caches that it
+        received in a list since its start.
+        """
+        # By proxy and cache: since when the cache has its state, and whether it drains or is removed.
         states: dict[str, dict[str, tuple[float, bool]]] = defaultdict(dict)
-        steps: list[tuple[float, int, Any]] = [(told.at, 0, told) for told in self.records.list_events]
-        steps += [(send.at, 1, send) for send in self.records.upstream_sends]
-        steps += [
+        events: list[tuple[float, int, Any]] = [(event.at, 0, event) for event in self.history.list_events]
+        events += [(send.at, 1, send) for send in self.history.upstream_sends]
+        events += [
             (process_event.at, -1, process_event)
-            for process_event in self.records.process_events
+            for process_event in self.history.process_events
             if process_event.what == "launched"
         ]
         latest = 0.0
-        for at, kind, what in sorted(steps, key=lambda step: step[:2]):
-            known = states[what.proxy]
+        for at, kind, event in sorted(events, key=lambda event: event[:2]):
+            known = states[event.proxy]
             if kind == -1:
                 known.clear()
             elif kind == 0:
-                if what.complete:
-                    listed = {name for name, _ in what.entries}
+                if event.complete:
+                    listed = {name for name, _ in event.entries}
                     for name in known.keys() - listed:
                         known[name] = (known[name][0], True) if known[name][1] else (at, True)
-                for name, state in what.entries:
-                    off = state != "SERVING"
-                    if name not in known or known[name][1] != off:
-                        known[name] = at, off
-            elif what.cache not in known:
+                for name, state in event.entries:
+                    leaving = state != "SERVING"
+                    if name not in known or known[name][1] != leaving:
+                        known[name] = at, leaving
+            elif event.cache not in known:
                 if known and not self.scenario.fleet.snapshot:
-                    self.say("drains", what.proxy, at, f"sent to {what.cache}, which no list has named")
-            elif known[what.cache][1]:
-                over = at - known[what.cache][0]
-                latest = max(latest, over)
-                if over > GRACE + self.slack and not self.gone(what.proxy, known[what.cache][0], at):
-                    self.say("drains", what.proxy, at, f"sent to {what.cache} {over:.2f} s after its drain")
+                    self.add_finding(
+                        "drains", event.proxy, at, f"sent to {event.cache}, which no list has named"
+                    )
+            elif known[event.cache][1]:
+                late_by = at - known[event.cache][0]
+                latest = max(latest, late_by)
+                if late_by > DRAIN_GRACE_S + self.tolerance_s and not self.was_unavailable(
+                    event.proxy, known[event.cache][0], at
+                ):
+                    self.add_finding(
+                        "drains",
+                        event.proxy,
+                        at,
+                        f"sent to {event.cache} {late_by:.2f} s after its drain",
+                    )
         self.figures["latest_after_drain_s"] = round(latest, 3)
-        self.spread()
+        self.check_drain_propagation()
 
-    def spread(self) -> None:
-        """How long it took from the first proxy to the last until each was told of a drain."""
-        first: dict[str, dict[str, float]] = defaultdict(dict)
-        for told in sorted(self.records.list_events):
-            for name, state in told.entries:
+    def check_drain_propagation(self) -> None:
+        """Check how long after the first proxy the last one was notified that a cache drains."""
+        notified: dict[str, dict[str, float]] = defaultdict(dict)
+        for event in sorted(self.history.list_events):
+            for name, state in event.entries:
                 if state == "DRAINING":
-                    first[name].setdefault(told.proxy, told.at)
+                    notified[name].setdefault(event.proxy, event.at)
         longest, bound = 0.0, self.scenario.must.told_all_s
-        for name, times in first.items():
+        for name, times in notified.items():
             begin = min(times.values())
             for proxy in (f"p{i}" for i in range(self.scenario.fleet.proxies)):
                 at = times.get(proxy, float("inf"))
                 if at < float("inf"):
                     longest = max(longest, at - begin)
-                due = begin + bound + self.lag if bound is not None else float("inf")
-                if at > due and due < self.records.ended_at:
-                    self.say("told", proxy, begin + bound, f"not told yet that {name} drains")
+                due = begin + bound + self.testbed_lag_s if bound is not None else float("inf")
+                if at > due and due < self.history.ended_at:
+                    self.add_finding("told", proxy, begin + bound, f"not notified yet that {name} drains")
         self.figures["drain_told_all_s"] = round(longest, 2)
 
-    def cold(self) -> None:
-        """Cold caches are not pushed over by all proxies together: from sends, by the stated capacity."""
+    def check_cold_caches(self) -> None:
+        """Check that all proxies together send a cold cache no more than its stated capacity allows."""
         cache = self.scenario.cache
         sends: dict[str, list[float]] = defaultdict(list)
-        for send in self.records.upstream_sends:
+        for send in self.history.upstream_sends:
             sends[send.cache].append(send.at)
-        top, worst = 0.0, ("", 0.0)
-        for name, starts in self.records.cold_starts.items():
+        highest, worst = 0.0, ("", 0.0)
+        for name, starts in self.history.cold_starts.items():
             for start in starts:
                 times = sorted(at for at in sends[name] if start <= at <= start + cache.cold_s)
-                for number, at in enumerate(times):
+                for index, at in enumerate(times):
                     first = bisect_right(times, at - cache.fall_s)
                     share = cache.cold_share + (1 - cache.cold_share) * (at - start) / cache.cold_s
-                    bears = cache.fall_multiple * cache.slots / (cache.hit_ms / 1000.0) * share * cache.fall_s
-                    if (number + 1 - first) / bears > top:
-                        top, worst = (number + 1 - first) / bears, (name, at)
-        if top > 1.0:
-            self.say("cold caches", worst[0], worst[1], f"{worst[0]} was sent {top:.2f} of what it bears")
-        for at, name in self.records.cache_collapses:
-            self.say("cold caches", name, at, f"{name} fell over")
-        self.figures["cold_pushed"] = round(top, 3)
+                    capacity = (
+                        cache.fall_multiple * cache.slots / (cache.hit_ms / 1000.0) * share * cache.fall_s
+                    )
+                    if (index + 1 - first) / capacity > highest:
+                        highest, worst = (index + 1 - first) / capacity, (name, at)
+        if highest > 1.0:
+            self.add_finding(
+                "cold caches", worst[0], worst[1], f"{worst[0]} was sent {highest:.2f} of its capacity"
+            )
+        for at, name in self.history.cache_collapses:
+            self.add_finding("cold caches", name, at, f"{name} collapsed under load")
+        self.figures["cold_pushed"] = round(highest, 3)
 
     # The bounds
 
-    def service(self) -> None:
+    def check_discovery(self) -> None:
+        """Check the load on the discovery service, and when proxies received their lists and were ready."""
         must, fleet = self.scenario.must, self.scenario.fleet
-        asks = [ask.at for ask in self.records.discovery_calls if ask.what == "asked"]
-        peak, when = max_count_in_window(asks)
+        calls = [call.at for call in self.history.discovery_calls if call.what == "asked"]
+        peak, peak_at = max_count_in_window(calls)
         launch_times: dict[str, list[float]] = defaultdict(list)
-        for process_event in self.records.process_events:
+        for process_event in self.history.process_events:
             if process_event.what == "launched":
                 launch_times[process_event.proxy].append(process_event.at)
         launches = sorted(at for times in launch_times.values() for at in times)
-        heard: dict[str, float] = {}
-        lists: dict[tuple[str, int], float] = {}  # by proxy and incarnation, when it was first told a list
-        for told in self.records.list_events:
-            heard.setdefault(told.proxy, told.at)
-            lists.setdefault((told.proxy, bisect_right(launch_times[told.proxy], told.at)), told.at)
+        first_lists: dict[str, float] = {}  # by proxy
+        lists: dict[tuple[str, int], float] = {}  # by proxy and incarnation, when it received its first list
+        for event in self.history.list_events:
+            first_lists.setdefault(event.proxy, event.at)
+            lists.setdefault((event.proxy, bisect_right(launch_times[event.proxy], event.at)), event.at)
         waits = sorted(
             at - launch_times[proxy][incarnation - 1]
             for (proxy, incarnation), at in lists.items()
             if incarnation
         )
-        begins, room = self.records.started_at, self.scenario.service.room
-        last = max(heard.values(), default=begins)
+        started_at, capacity = self.history.started_at, self.scenario.service.room
+        last = max(first_lists.values(), default=started_at)
         self.figures |= {
-            "asked": len(asks),
+            "asked": len(calls),
             "asked_peak": peak,
-            "asked_peak_at_s": round(when - begins, 2),
-            "refused": sum(ask.what == "refused" for ask in self.records.discovery_calls),
-            "launched_s": round(max(launches, default=begins) - begins, 2),
-            "listed": len(heard),
-            "listed_last_s": round(last - begins, 2),
+            "asked_peak_at_s": round(peak_at - started_at, 2),
+            "refused": sum(call.what == "refused" for call in self.history.discovery_calls),
+            "launched_s": round(max(launches, default=started_at) - started_at, 2),
+            "listed": len(first_lists),
+            "listed_last_s": round(last - started_at, 2),
             "lives": len(launches),
-            "list_after_launch_s": [round(waits[int(part * (len(waits) - 1))], 2) for part in (0.5, 0.95, 1)]
+            "list_after_launch_s": [
+                round(waits[int(quantile * (len(waits) - 1))], 2) for quantile in (0.5, 0.95, 1)
+            ]
             if waits
             else None,
         }
-        if must.asks_per_room is not None and peak > must.asks_per_room * room + 1 + EDGE * room:
-            self.say("asks", "all", when, f"{peak} asked in a second, of a room of {room:g}")
+        if (
+            must.asks_per_room is not None
+            and peak > must.asks_per_room * capacity + 1 + RATE_TOLERANCE * capacity
+        ):
+            self.add_finding(
+                "asks", "all", peak_at, f"{peak} watches requested in a second, capacity {capacity:g}"
+            )
         if must.list_factor is not None:
-            bound = max([begins, *launches[: fleet.proxies]]) + must.list_factor * fleet.proxies / room + 1.0
-            late = [p for p in (f"p{i}" for i in range(fleet.proxies)) if heard.get(p, float("inf")) > bound]
+            bound = (
+                max([started_at, *launches[: fleet.proxies]])
+                + must.list_factor * fleet.proxies / capacity
+                + 1.0
+            )
+            late = [
+                p for p in (f"p{i}" for i in range(fleet.proxies)) if first_lists.get(p, float("inf")) > bound
+            ]
             for proxy in late:
-                told = f"{heard[proxy] - begins:.1f} s" if proxy in heard else "never"
-                self.say("list", proxy, bound, f"heard its list {told}, bound {bound - begins:.1f} s")
-        doors: dict[str, float] = {}
-        for at, proxy in self.records.proxy_ready_events:
-            doors.setdefault(proxy, at)
+                received = (
+                    f"{first_lists[proxy] - started_at:.1f} s after the start"
+                    if proxy in first_lists
+                    else "never"
+                )
+                self.add_finding(
+                    "list", proxy, bound, f"received its list {received}, bound {bound - started_at:.1f} s"
+                )
+        ready: dict[str, float] = {}
+        for at, proxy in self.history.proxy_ready_events:
+            ready.setdefault(proxy, at)
             incarnation = proxy, bisect_right(launch_times[proxy], at)
             if (
                 must.list_before_door
                 and not fleet.snapshot
-                and lists.get(incarnation, float("inf")) > at + CROSS
+                and lists.get(incarnation, float("inf")) > at + MAX_REORDERING_S
             ):
-                self.say("door", proxy, at, "said yes before it was told a list")
-        times = sorted(at - begins for at in doors.values())
-        for name, part in (("half", 0.5), ("95", 0.95), ("all", 1.0)):
-            place = max(0, round(part * fleet.proxies) - 1)
-            self.figures[f"serves_{name}_s"] = round(times[place], 2) if place < len(times) else None
+                self.add_finding("door", proxy, at, "answered PING before it received a list")
+        times = sorted(at - started_at for at in ready.values())
+        for name, share in (("half", 0.5), ("95", 0.95), ("all", 1.0)):
+            index = max(0, round(share * fleet.proxies) - 1)
+            self.figures[f"serves_{name}_s"] = round(times[index], 2) if index < len(times) else None
         if must.serves_all_s is not None:
             for proxy in (f"p{i}" for i in range(fleet.proxies)):
-                if doors.get(proxy, float("inf")) > begins + must.serves_all_s:
-                    self.say("door", proxy, begins + must.serves_all_s, "does not say yes yet")
+                if ready.get(proxy, float("inf")) > started_at + must.serves_all_s:
+                    self.add_finding(
+                        "door", proxy, started_at + must.serves_all_s, "does not answer PING yet"
+                    )
 
-    def shares(self) -> None:
+    def check_capacity(self) -> None:
+        """Check handshakes and connections at each cache, and fetches from the origin, of the whole fleet."""
         must = self.scenario.must
-        begun: dict[str, list[float]] = defaultdict(list)
-        ended: dict[str, list[float]] = defaultdict(list)
-        for hand in self.records.connection_events:
-            (begun if hand.opened else ended)[hand.cache].append(hand.at)
-        peaks = {name: max_count_in_window(times) for name, times in begun.items()}
-        most = {name: max_concurrent(times, ended[name]) for name, times in begun.items()}
-        name = max(peaks, key=lambda name: peaks[name][0], default=None)
-        self.figures["handshakes"] = sum(map(len, begun.values()))
-        self.figures["handshakes_peak"] = peaks[name][0] if name else 0
-        self.figures["connections_peak"] = max([count for count, _ in most.values()], default=0)
-        for cache, (count, at) in peaks.items():
-            if must.handshakes is not None and count > must.handshakes * (1 + EDGE + 2 * self.lag) + 1:
-                self.say("handshakes", "all", at, f"{count} in a second at {cache}, over {must.handshakes:g}")
-        for cache, (count, at) in most.items():
+        opened: dict[str, list[float]] = defaultdict(list)
+        closed: dict[str, list[float]] = defaultdict(list)
+        for event in self.history.connection_events:
+            (opened if event.opened else closed)[event.cache].append(event.at)
+        handshake_peaks = {name: max_count_in_window(times) for name, times in opened.items()}
+        connection_peaks = {name: max_concurrent(times, closed[name]) for name, times in opened.items()}
+        name = max(handshake_peaks, key=lambda name: handshake_peaks[name][0], default=None)
+        self.figures["handshakes"] = sum(map(len, opened.values()))
+        self.figures["handshakes_peak"] = handshake_peaks[name][0] if name else 0
+        self.figures["connections_peak"] = max([count for count, _ in connection_peaks.values()], default=0)
+        for cache, (count, at) in handshake_peaks.items():
+            if (
+                must.handshakes is not None
+                and count > must.handshakes * (1 + RATE_TOLERANCE + 2 * self.testbed_lag_s) + 1
+            ):
+                self.add_finding(
+                    "handshakes", "all", at, f"{count} in a second at {cache}, over {must.handshakes:g}"
+                )
+        for cache, (count, at) in connection_peaks.items():
             if must.connections is not None and count > must.connections:
-                self.say("connections", "all", at, f"{count} held at {cache}, over {must.connections}")
-        fetches = self.records.origin_fetches
+                self.add_finding(
+                    "connections", "all", at, f"{count} open at {cache}, over {must.connections}"
+                )
+        fetches = self.history.origin_fetches
         count, at = max_concurrent([begin for begin, _ in fetches], [end for _, end in fetches])
         self.figures |= {"fetches": len(fetches), "fetches_at_once": count}
         if must.fetches is not None and count > must.fetches:
-            self.say("fetches", "all", at, f"{count} asked of the origin at one time, over {must.fetches}")
+            self.add_finding(
+                "fetches", "all", at, f"{count} fetches from the origin at one time, over {must.fetches}"
+            )
         count, at = max_count_in_window(begin for begin, _ in fetches)
         self.figures["fetches_peak"] = count
-        room = must.fetches_per_s
-        # A turn may be taken 0.3 s late, as on every grid; caches that queue bring some together.
-        if room is not None and count > room * (1.3 + EDGE + 2 * self.lag) + 1:
-            self.say("fetches", "all", at, f"{count} asked of the origin in a second, over {room:g}")
-
-    def flights(self) -> None:
-        """RPCs that are out at a cache at one time, from all proxies."""
-        outs: dict[str, tuple[list[float], list[float]]] = defaultdict(lambda: ([], []))
-        for place, send in enumerate(self.records.upstream_sends):
-            begins, ends = outs[send.cache]
+        bound = must.fetches_per_s
+        # A rate slot may be used up to 0.3 s late, as with all rate slots; caches that queue commands bunch
+        # some fetches together.
+        if bound is not None and count > bound * (1.3 + RATE_TOLERANCE + 2 * self.testbed_lag_s) + 1:
+            self.add_finding(
+                "fetches", "all", at, f"{count} fetches from the origin in a second, over {bound:g}"
+            )
+
+    def check_in_flight(self) -> None:
+        """Check the requests of all proxies that are in flight at a cache at one time."""
+        intervals: dict[str, tuple[list[float], list[float]]] = defaultdict(lambda: ([], []))
+        for index, send in enumerate(self.history.upstream_sends):
+            begins, ends = intervals[send.cache]
             begins.append(send.at)
-            ends.append(self.records.send_ended_at.get(place, self.records.ended_at))
-        most, bound = (
-            {name: max_concurrent(*times) for name, times in outs.items()},
+            ends.append(self.history.send_ended_at.get(index, self.history.ended_at))
+        peaks, bound = (
+            {name: max_concurrent(*times) for name, times in intervals.items()},
             self.scenario.must.in_flight,
         )
-        self.figures["in_flight_peak"] = max([count for count, _ in most.values()], default=0)
-        for cache, (count, at) in most.items():
+        self.figures["in_flight_peak"] = max([count for count, _ in peaks.values()], default=0)
+        for cache, (count, at) in peaks.items():
             if bound is not None and count > bound:
-                self.say("in flight", "all", at, f"{count} out at {cache} at one time, over {bound:g}")
+                self.add_finding(
+                    "in flight", "all", at, f"{count} in flight at {cache} at one time, over {bound:g}"
+                )
 
-    def versions(self) -> None:
-        """How long after a majority was handed a version a send was seen that it forbids."""
-        records, longest, judged = self.records, 0.0, 0
+    def check_versions(self) -> None:
+        """Check how long after a majority received a settings version requests that it forbids were sent."""
+        history, longest, judged = self.history, 0.0, 0
         majority = self.scenario.fleet.proxies // 2 + 1
-        held_at: dict[int, float] = {}
-        for version in sorted(one.version for one in records.published_versions):
+        majority_at: dict[int, float] = {}  # by version: when a majority had received it or a later one
+        for version in sorted(publication.version for publication in history.published_versions):
             times = sorted(
                 {
                     proxy: at
-                    for at, proxy, held in sorted(records.document_deliveries, reverse=True)
-                    if held >= version
+                    for at, proxy, received in sorted(history.document_deliveries, reverse=True)
+                    if received >= version
                 }.values()
             )
             if len(times) >= majority:
-                held_at[version] = times[majority - 1]
-        zones = {one.version: one.zones for one in records.published_versions}
-        orders = [send for send in records.upstream_sends if send.method == "order"]
+                majority_at[version] = times[majority - 1]
+        zones = {publication.version: publication.zones for publication in history.published_versions}
+        orders = [send for send in history.upstream_sends if send.method == "order"]
         for send in orders:
-            binding = [version for version, at in held_at.items() if at < send.at]
+            binding = [version for version, at in majority_at.items() if at < send.at]
             if not binding:
                 continue
             judged += 1
-            # Forbidden by the newest that a majority had, and by all since: when did that begin?
+            # Find since when all versions up to the newest that a majority had received forbid this zone.
             since = None
             for version in sorted(binding, reverse=True):
-                if records.cache_zones[send.cache] in zones[version]:
+                if history.cache_zones[send.cache] in zones[version]:
                     break
-                since = held_at[version]
+                since = majority_at[version]
             if since is not None:
                 longest = max(longest, send.at - since)
                 bound = self.scenario.must.settled_s
-                if bound is not None and send.at - since > bound + self.slack:
-                    self.say(
+                if bound is not None and send.at - since > bound + self.tolerance_s:
+                    self.add_finding(
                         "versions",
                         send.proxy,
                         send.at,
-                        f"sent to zone {records.cache_zones[send.cache]} "
+                        f"sent to zone {history.cache_zones[send.cache]} "
                         f"{send.at - since:.2f} s after a majority had the version that forbids it",
                     )
-        if records.published_versions:
-            first = {
-                version: [at for at, _, held in records.document_deliveries if held >= version]
-                for version in held_at
+        if history.published_versions:
+            deliveries = {
+                version: [at for at, _, received in history.document_deliveries if received >= version]
+                for version in majority_at
             }
             self.figures |= {
-                "versions": len(records.published_versions),
+                "versions": len(history.published_versions),
                 "orders_judged": judged,
                 "forbidden_longest_s": round(longest, 3),
                 "handed_last_s": round(
-                    max((max(times) - min(times) for times in first.values()), default=0.0), 2
+                    max((max(times) - min(times) for times in deliveries.values()), default=0.0), 2
                 ),
             }
 
-    def trials(self) -> None:
-        """A bad version that is tried: where it fails orders, and for how long; what clients saw."""
+    def check_canaries(self) -> None:
+        """Check where, and for how long, a harmful version that is tried as a canary fails orders."""
         bound, longest = self.scenario.must.halted_s, 0.0
         orders = {
-            attempt.id: attempt for attempt in self.records.client_attempts if attempt.method == "order"
+            attempt.id: attempt for attempt in self.history.client_attempts if attempt.method == "order"
         }
-        lost: dict[str, list[float]] = defaultdict(list)
-        got: dict[str, list[float]] = defaultdict(list)
-        for answer in self.records.client_answers:
+        failed: dict[str, list[float]] = defaultdict(list)
+        completed: dict[str, list[float]] = defaultdict(list)
+        for answer in self.history.client_answers:
             if answer.id in orders:
-                (got if answer.kind == "completed" else lost)[answer.proxy].append(answer.at)
+                (completed if answer.kind == "completed" else failed)[answer.proxy].append(answer.at)
 
-        def failing(proxy: str, begin: float, end: float) -> float:
-            """The part of its orders that were not completed."""
-            count = [sum(begin <= at < end for at in times[proxy]) for times in (lost, got)]
-            return count[0] / sum(count) if sum(count) >= TOLD else 0.0
+        def failed_share(proxy: str, begin: float, end: float) -> float:
+            """Return the share of the proxy's orders that failed; 0: there were too few to tell."""
+            count = [sum(begin <= at < end for at in times[proxy]) for times in (failed, completed)]
+            return count[0] / sum(count) if sum(count) >= MIN_SAMPLES else 0.0
 
-        for one in (one for one in self.records.canaries if one.harmful and bound is not None):
-            halted, end = one.at + bound, max(one.at + bound + 3.0, one.at + one.duration_s)
+        for canary in (canary for canary in self.history.canaries if canary.harmful and bound is not None):
+            halted, end = canary.at + bound, max(canary.at + bound + 3.0, canary.at + canary.duration_s)
             for proxy in (f"p{number}" for number in range(self.scenario.fleet.proxies)):
-                if proxy in one.proxies:
-                    seen = [at for at in lost[proxy] if one.at <= at < halted]
-                    longest = max(longest, max(seen, default=one.at) - one.at)
-                    if failing(proxy, halted + self.slack, end) > 0.5:
-                        self.say("trials", proxy, halted, "goes on with a version that fails")
+                if proxy in canary.proxies:
+                    failures = [at for at in failed[proxy] if canary.at <= at < halted]
+                    longest = max(longest, max(failures, default=canary.at) - canary.at)
+                    if failed_share(proxy, halted + self.tolerance_s, end) > 0.5:
+                        self.add_finding("trials", proxy, halted, "still uses a version that fails")
                 elif any(
-                    failing(proxy, one.at + later, one.at + later + 3.0) > 0.5
-                    for later in range(int(one.duration_s))
+                    failed_share(proxy, canary.at + later, canary.at + later + 3.0) > 0.5
+                    for later in range(int(canary.duration_s))
                 ):
-                    self.say("trials", proxy, one.at, "fails by a version that others were to try")
+                    self.add_finding(
+                        "trials", proxy, canary.at, "fails by a version that only others were to try"
+                    )
             self.figures |= {
-                "trial_failed": sum(one.at <= at < end for p in one.proxies for at in lost[p]),
+                "trial_failed": sum(canary.at <= at < end for p in canary.proxies for at in failed[p]),
                 "trial_failed_longest_s": round(longest, 2),
             }
 
-    def verdicts(self) -> None:
-        """What sick caches are sent, and healthy ones beside them; from sends."""
-        bound, begins = self.scenario.must.avoided_s, self.records.started_at
+    def check_sick_caches(self) -> None:
+        """Check that sick caches are sent fewer requests, and the healthy ones not much fewer."""
+        bound, started_at = self.scenario.must.avoided_s, self.history.started_at
         for event in (
-            one for one in self.scenario.event if one.do in ("sick", "sick_large") and bound is not None
+            event for event in self.scenario.event if event.do in ("sick", "sick_large") and bound is not None
         ):
             ends = min(event.until or self.scenario.seconds, self.scenario.seconds)
             rates: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
-            for send in self.records.upstream_sends:
-                at = send.at - begins
-                # One that is slow for large answers alone is healthy for the others, by its plain name.
+            for send in self.history.upstream_sends:
+                at = send.at - started_at
+                # A cache that is slow for large values only is counted twice: with the suffix for reads of
+                # large values, and under its plain name, as a healthy cache, for all others.
                 cache = send.cache
                 if (
                     event.do == "sick_large"
                     and send.method == "read"
                     and self.scenario.has_large_value(send.key)
                 ):
-                    cache += LARGE
-                if event.at - BEFORE <= at < event.at:
-                    rates[cache][0] += 1.0 / BEFORE
+                    cache += LARGE_RESPONSES_SUFFIX
+                if event.at - BASELINE_SPAN_S <= at < event.at:
+                    rates[cache][0] += 1.0 / BASELINE_SPAN_S
                 elif event.at + bound <= at < ends:
                     rates[cache][1] += 1.0 / (ends - event.at - bound)
-            sick = event.who + LARGE if event.do == "sick_large" else event.who
-            others = {one.who for one in self.scenario.event if one.do in ("sick", "sick_large")} - {
+            sick = event.who + LARGE_RESPONSES_SUFFIX if event.do == "sick_large" else event.who
+            others = {other.who for other in self.scenario.event if other.do in ("sick", "sick_large")} - {
                 event.who
             }
             for cache, (before, after) in sorted(rates.items()):
-                if before * BEFORE < TOLD or cache.removesuffix(LARGE) in others:
+                if (
+                    before * BASELINE_SPAN_S < MIN_SAMPLES
+                    or cache.removesuffix(LARGE_RESPONSES_SUFFIX) in others
+                ):
                     continue
                 if cache == sick:
                     self.figures[f"{event.do}_sent"] = round(after / before, 2)
-                    if after > LESS * before:
-                        self.say(
+                    if after > MAX_SICK_SEND_RATIO * before:
+                        self.add_finding(
                             "verdicts",
                             "all",
-                            begins + event.at + bound,
-                            f"{cache} is sick, and is sent {after:.1f} a second of {before:.1f}",
+                            started_at + event.at + bound,
+                            f"{cache} is sick, and is sent {after:.1f} a second, before {before:.1f}",
                         )
-                elif after < 0.5 * before and not (event.do == "sick_large" and cache.endswith(LARGE)):
-                    self.say(
+                elif after < 0.5 * before and not (
+                    event.do == "sick_large" and cache.endswith(LARGE_RESPONSES_SUFFIX)
+                ):
+                    self.add_finding(
                         "verdicts",
                         "all",
-                        begins + event.at + bound,
-                        f"{cache} is healthy, and is sent {after:.1f} a second of {before:.1f}",
+                        started_at + event.at + bound,
+                        f"{cache} is healthy, and is sent {after:.1f} a second, before {before:.1f}",
                     )
 
-    def costs(self) -> None:
-        """What a proxy costs in the last third, by the system and by what went over the links."""
-        records, count = self.records, self.scenario.fleet.proxies
-        since = records.ended_at - (records.ended_at - records.started_at) / 3.0
-        spent = [part for at, part in records.processor_use if at > since]
-        sizes = [size for at, size in records.datagrams if at > since]
-        span = max(1.0, records.ended_at - since) * count
+    def record_costs(self) -> None:
+        """Record the cores and datagrams of a proxy in the last third of the run.
+
+        Processor time is measured by the system, datagrams by the links between the proxies.
+        """
+        history, proxies = self.history, self.scenario.fleet.proxies
+        since = history.ended_at - (history.ended_at - history.started_at) / 3.0
+        cores = [used for at, used in history.processor_use if at > since]
+        sizes = [size for at, size in history.datagrams if at > since]
+        proxy_seconds = max(1.0, history.ended_at - since) * proxies
         self.figures |= {
-            "core_each": round(sum(spent) / len(spent) / count, 5) if spent else None,
-            "datagrams_each_s": round(len(sizes) / span, 1),
-            "datagram_bytes_each_s": round(sum(sizes) / span),
+            "core_each": round(sum(cores) / len(cores) / proxies, 5) if cores else None,
+            "datagrams_each_s": round(len(sizes) / proxy_seconds, 1),
+            "datagram_bytes_each_s": round(sum(sizes) / proxy_seconds),
         }
 
-    def served(self) -> None:
-        soft = self.scenario.traffic.soft_ms / 1000.0
-        kinds = Counter(answer.kind for answer in self.records.client_answers)
-        intents = sorted(self.records.client_requests)
-        good = [i.completed_at is not None and i.completed_at <= i.at + soft for i in intents]
-        third = good[-(len(good) // 3) :] if len(good) > 2 else good
+    def check_served(self) -> None:
+        """Check the share of requests that completed in time in the last third of the run."""
+        latency_objective_s = self.scenario.traffic.soft_ms / 1000.0
+        kinds = Counter(answer.kind for answer in self.history.client_answers)
+        requests = sorted(self.history.client_requests)
+        in_time = [
+            i.completed_at is not None and i.completed_at <= i.at + latency_objective_s for i in requests
+        ]
+        last_third = in_time[-(len(in_time) // 3) :] if len(in_time) > 2 else in_time
         self.figures |= {
-            "rpcs": len(intents),
-            "in_time": round(sum(good) / len(good), 4) if good else None,
-            "in_time_last_third": round(sum(third) / len(third), 4) if third else None,
+            "rpcs": len(requests),
+            "in_time": round(sum(in_time) / len(in_time), 4) if in_time else None,
+            "in_time_last_third": round(sum(last_third) / len(last_third), 4) if last_third else None,
             "tries_by_answer": dict(sorted(kinds.items())),
         }
-        self.figures["steady_s"] = self.steady(intents, good)
-        tenants = [intent.tenant for intent in intents[-len(third) :]] if third else []
+        self.figures["steady_s"] = self.steady_since(requests, in_time)
+        tenants = [request.tenant for request in requests[-len(last_third) :]] if last_third else []
         for tenant in sorted(set(tenants)):
-            ours = [fine for fine, one in zip(third, tenants, strict=True) if one == tenant]
-            self.figures[f"{tenant}_in_time_last_third"] = part = round(sum(ours) / len(ours), 4)
+            of_tenant = [
+                was_in_time for was_in_time, name in zip(last_third, tenants, strict=True) if name == tenant
+            ]
+            self.figures[f"{tenant}_in_time_last_third"] = share = round(sum(of_tenant) / len(of_tenant), 4)
             least = self.scenario.must.served_first
-            if tenant == "shop" and least is not None and part < least:
-                self.say(
+            if tenant == "shop" and least is not None and share < least:
+                self.add_finding(
                     "served",
                     "all",
-                    self.records.ended_at,
-                    f"{part:.3f} of the first tenant's in time at the end, under {least:g}",
+                    self.history.ended_at,
+                    f"{share:.3f} of the first tenant's requests in time at the end, under {least:g}",
                 )
         least = self.scenario.must.served
-        if least is not None and (not third or sum(third) / len(third) < least):
-            part = sum(third) / len(third) if third else 0.0
-            self.say(
-                "served", "all", self.records.ended_at, f"{part:.3f} in time at the end, under {least:g}"
+        if least is not None and (not last_third or sum(last_third) / len(last_third) < least):
+            share = sum(last_third) / len(last_third) if last_third else 0.0
+            self.add_finding(
+                "served",
+                "all",
+                self.history.ended_at,
+                f"{share:.3f} of the requests in time at the end, under {least:g}",
             )
 
-    def steady(self, intents: list, good: list[bool]) -> float | None:
-        """From when on 95% of RPCs are completed in time, in every second till the end."""
+    def steady_since(self, requests: list, in_time: list[bool]) -> float | None:
+        """Return the first second from which on 95% of the requests of each second completed in time.
+
+        None: there is no such second.
+        """
         seconds: dict[int, list[bool]] = defaultdict(list)
-        for intent, fine in zip(intents, good, strict=True):
-            seconds[int(intent.at - self.records.started_at)].append(fine)
+        for request, was_in_time in zip(requests, in_time, strict=True):
+            seconds[int(request.at - self.history.started_at)].append(was_in_time)
         since = None
         for second in sorted(seconds):
-            fine = sum(seconds[second]) >= 0.95 * len(seconds[second])
-            since = (second if since is None else since) if fine else None
+            is_steady = sum(seconds[second]) >= 0.95 * len(seconds[second])
+            since = (second if since is None else since) if is_steady else None
         return since
 
-    def crashes(self) -> None:
-        ordered: dict[str, str] = {}
-        for process_event in sorted(self.records.process_events, key=lambda process_event: process_event.at):
-            if process_event.what == "exited" and ordered.get(process_event.proxy) not in (
+    def check_exits(self) -> None:
+        """Check that no proxy exits by itself, and that each exits with 0 after SIGTERM."""
+        last_event: dict[str, str] = {}  # of launched, killed and termed, by proxy
+        for process_event in sorted(self.history.process_events, key=lambda process_event: process_event.at):
+            if process_event.what == "exited" and last_event.get(process_event.proxy) not in (
                 "killed",
                 "termed",
             ):
-                self.say(
+                self.add_finding(
                     "crash",
                     process_event.proxy,
                     process_event.at,
-                    f"ended by itself with {process_event.code}",
+                    f"exited by itself with code {process_event.code}",
                 )
             elif (
                 process_event.what == "exited"
-                and ordered.get(process_event.proxy) == "termed"
+                and last_event.get(process_event.proxy) == "termed"
                 and process_event.code != 0
             ):
-                self.say(
+                self.add_finding(
                     "crash",
                     process_event.proxy,
                     process_event.at,
-                    f"ended with {process_event.code} after SIGTERM",
+                    f"exited with code {process_event.code} after SIGTERM",
                 )
             if process_event.what in ("launched", "killed", "termed"):
-                ordered[process_event.proxy] = process_event.what
+                last_event[process_event.proxy] = process_event.what
 
 
-def check_history(scenario: Scenario, records: History) -> Verdict:
-    return HistoryChecker(scenario, records).judge()
+def check_history(scenario: Scenario, history: History) -> Verdict:
+    """Check the history of a run of the scenario and return the verdict."""
+    return HistoryChecker(scenario, history).check()
