--- a/calicofall/testbed/runner.py
+++ b/calicofall/testbed/runner.py
@@ -1,7 +1,8 @@
-"""Plays a drill: starts the proxies, opens the stand-ins, puts faults between them, hands all to the referee.
+"""Runs a scenario: starts proxies and emulated servers, injects faults between them, has the history checked.
 
-Owns the processes that it started, and ends them whatever happens. Must never end any other, judge, or let a
-proxy's word into what the referee sees.
+Invariants:
+    Each process that was started here is ended, whatever happens, and no other process is.
+    Nothing is judged here, and nothing that a proxy says about itself enters the history.
 """
 
 import asyncio
@@ -33,29 +34,45 @@
 from calicofall.testbed.scenario import CLOCK_DRIFT, MAX_PAUSE_S, ZONE_NAMES, Scenario, expand_group
 from calicofall.testbed.server_models import CacheModel, DiscoveryModel, OriginModel
 
-FIRST_PORT = 10_240
-LOOK = 0.02  # s between two looks at the stage's own lateness
-LATE = 0.005  # s from which it counts
-PROGRAM = [sys.executable, "-O", "-m", "calicofall", "serve"]
+FIRST_PROXY_PORT = 10_240
+LAG_CHECK_INTERVAL_S = 0.02  # between two checks of how late the testbed itself is
+MIN_LAG_S = 0.005  # below it a lag of the testbed is not recorded
+DEFAULT_COMMAND = [sys.executable, "-O", "-m", "calicofall", "serve"]
 
 
-def ports(count: int, kind: int = socket.SOCK_STREAM) -> list[int]:
-    """Ports that are free now, to be listened at by proxies.
+def find_free_ports(count: int, kind: int = socket.SOCK_STREAM) -> list[int]:
+    """Return ports that are free now, for proxies to listen on.
 
-    From below those that the system gives to outgoing connections: one of these would be taken by the time
-    that the last of three hundred proxies is up.
+    They are below the range that the system uses for outgoing connections: a port of that range would be
+    taken before the last of 300 proxies listens on it.
+
+    Raises:
+        OSError: There are fewer free ports than `count`.
     """
     found: list[int] = []
-    for port in range(FIRST_PORT + os.getpid() % 64 * 256, 32_000):
-        with socket.socket(socket.AF_INET, kind) as plug, suppress(OSError):
-            plug.bind(("127.0.0.1", port))
+    for port in range(FIRST_PROXY_PORT + os.getpid() % 64 * 256, 32_000):
+        with socket.socket(socket.AF_INET, kind) as sock, suppress(OSError):
+            sock.bind(("127.0.0.1", port))
             found.append(port)
         if len(found) == count:
             return found
-    raise OSError("no ports left")
+    raise OSError("there are fewer free ports below 32000 than were requested")
 
 
 class ScenarioRunner:
+    """Runs one scenario, once.
+
+    Attributes:
+        history: What was seen during the run.
+        links: The injected faults that are in force.
+        connections: Open connections of proxies to emulated servers.
+        processes: The latest process of each proxy.
+        exit_recorded: By proxy: done once the exit of its present process is recorded.
+        log_files: Open log files of the proxies.
+        scheduler_times: By process: ns that it has run, and ns that it has waited for a core.
+        stopping: Whether the run is over and its processes are being ended.
+    """
+
     def __init__(
         self,
         scenario: Scenario,
@@ -65,99 +82,102 @@
         progress: Callable[[str], None] = lambda line: None,
     ) -> None:
         self.scenario, self.folder, self.program, self.commands = scenario, folder, program, commands or {}
-        self.tell, self.history, self.links = progress, History(), LinkFaults(scenario.seed)
+        self.report_progress, self.history, self.links = progress, History(), LinkFaults(scenario.seed)
         self.connections: set[EmulatedConnection] = set()
         self.processes: dict[str, subprocess.Popen] = {}
-        self.gone: dict[str, asyncio.Future] = {}  # the end of each one's present life, once recorded
-        self.files: list[Any] = []
-        self.waits: dict[int, tuple[int, int]] = {}  # ns that a process has run, and waited for a core
+        self.exit_recorded: dict[str, asyncio.Future] = {}
+        self.log_files: list[Any] = []
+        self.scheduler_times: dict[int, tuple[int, int]] = {}
         self.stopping = False
 
     async def run(self) -> Verdict:
+        """Run the scenario to its end, end all processes and return the checker's verdict."""
         self.loop = asyncio.get_running_loop()
-        self.build_servers()
+        self.create_servers()
         cores = sorted(os.sched_getaffinity(0))
         try:
-            for stand in (*self.caches.values(), self.service):
-                await stand.open()
-            if len(cores) > 2:  # the stage keeps a core to itself, so that what it sees is seen in time
+            for server in (*self.caches.values(), self.discovery):
+                await server.open()
+            if len(cores) > 2:  # the testbed keeps a core to itself, so that it sees events in time
                 os.sched_setaffinity(0, cores[:1])
-            self.cores = cores[1:] if len(cores) > 2 else cores
-            self.history.started_at = self.began = self.loop.time()
+            self.proxy_cores = cores[1:] if len(cores) > 2 else cores
+            self.history.started_at = self.started_at = self.loop.time()
             self.history.started_at_epoch_s = time.time()
-            self.next_lag_check_at = self.began
+            self.next_lag_check_at = self.started_at
             self.measure_lag()
-            self.clients.start(self.began)
-            self.plan()
-            await self.launch_all()
-            while (left := self.began + self.scenario.seconds - self.loop.time()) > 0.0:
+            self.clients.start(self.started_at)
+            self.schedule_events()
+            await self.launch_proxies()
+            while (left := self.started_at + self.scenario.seconds - self.loop.time()) > 0.0:
                 await asyncio.sleep(min(1.0, left))
-                self.progress()
+                self.report_status()
         finally:
             self.stopping = True
             self.history.ended_at = self.loop.time()
-            self.usage()
+            self.record_processor_use()
             for name in list(self.processes):
-                self.kill(name)
+                self.kill_proxy(name)
             os.sched_setaffinity(0, cores)
             await self.clients.end()
             for process in self.processes.values():
                 process.wait()
-            for file in self.files:
+            for file in self.log_files:
                 file.close()
             for relay in self.relays:
                 relay.close()
         self.history.origin_fetches = self.origin.spans
         self.history.cache_collapses = [
-            (at, name) for name, stand in self.caches.items() for at in stand.model.falls
+            (at, name) for name, server in self.caches.items() for at in server.model.falls
         ]
         self.history.injected_faults = self.links.spans
         return check_history(self.scenario, self.history)
 
-    # Stand-ins
+    # Emulated servers
 
-    def build_servers(self) -> None:
+    def create_servers(self) -> None:
+        """Create the emulated servers, the relays and the clients, without starting them."""
         scenario, cache = self.scenario, self.scenario.cache
         fleet = scenario.fleet
         self.origin = OriginModel(scenario.origin.fetches, scenario.origin.fetch_ms / 1000.0)
-        free = ports(2 * fleet.proxies)
-        self.doors = {f"p{i}": ("127.0.0.1", free[i]) for i in range(fleet.proxies)}
+        free_ports = find_free_ports(2 * fleet.proxies)
+        self.client_addresses = {f"p{i}": ("127.0.0.1", free_ports[i]) for i in range(fleet.proxies)}
         self.operator_addresses = [
-            f"127.0.0.1:{port}" for port in free[fleet.proxies :]
-        ]  # where operators call
-        self.clients = Clients(self.loop, scenario, self.history, self.doors)
+            f"127.0.0.1:{port}" for port in free_ports[fleet.proxies :]
+        ]  # for operators' calls
+        self.clients = Clients(self.loop, scenario, self.history, self.client_addresses)
         self.caches: dict[str, CacheEmulator] = {}
         for number in range(fleet.caches):
-            self.build(f"c{number}")
+            self.create_cache(f"c{number}")
         model = DiscoveryModel(
             scenario.service.room,
             scenario.service.open,
             scenario.service.retry_after_s,
             scenario.service.queue,
         )
-        self.service = DiscoveryEmulator(
-            self, model, lambda: {n: stand.port for n, stand in self.caches.items()}
+        self.discovery = DiscoveryEmulator(
+            self, model, lambda: {n: server.port for n, server in self.caches.items()}
         )
-        self.service.agents = scenario.service.agents
+        self.discovery.agents = scenario.service.agents
         wall, now = time.time(), self.loop.time()
-        for name, stand in self.caches.items():
+        for name, server in self.caches.items():
             if cache.cold:
-                stand.model.start(now)
+                server.model.start(now)
                 self.history.cold_starts[name] = [now]
-            model.put(self.entry(name, since=wall if cache.cold else 0.0))
-        self.history.cache_zones = {name: self.entry(name)["zone"] for name in self.caches}
+            model.put(self.endpoint_entry(name, since=wall if cache.cold else 0.0))
+        self.history.cache_zones = {name: self.endpoint_entry(name)["zone"] for name in self.caches}
         if fleet.versions:
-            self.service.documents.append(self.document(1, ZONE_NAMES[: fleet.zones]))
+            self.discovery.documents.append(self.make_document(1, ZONE_NAMES[: fleet.zones]))
             self.history.published_versions.append(PublishedVersion(now, 1, ZONE_NAMES[: fleet.zones]))
-        self.relays, self.speaks = [], []
+        self.relays, self.gossip_ports = [], []
         if fleet.speak:
-            self.speaks = ports(fleet.proxies, socket.SOCK_DGRAM)
+            self.gossip_ports = find_free_ports(fleet.proxies, socket.SOCK_DGRAM)
             self.relays = [
-                DatagramRelay(self, i, lambda peer: (self.relays[peer], self.speaks[peer]))
+                DatagramRelay(self, i, lambda peer: (self.relays[peer], self.gossip_ports[peer]))
                 for i in range(fleet.proxies)
             ]
 
-    def build(self, name: str) -> None:
+    def create_cache(self, name: str) -> None:
+        """Create an emulated cache."""
         cache = self.scenario.cache
         model = CacheModel(
             self.origin,
@@ -174,9 +194,18 @@
         )
         self.caches[name] = CacheEmulator(self, name, model, self.clients.size, cache.reports)
 
-    def entry(self, name: str, status: str = "SERVING", since: float | None = None) -> dict[str, Any]:
-        before = self.service.model.entries.get(name, {})
-        since_ms = before.get("since_ms", 0) if since is None else round(since * 1000.0)
+    def endpoint_entry(
+        self, name: str, status: str = "SERVING", since: float | None = None
+    ) -> dict[str, Any]:
+        """Return a cache's entry of the endpoint list.
+
+        Args:
+            name: Name of the cache.
+            status: Its status in the list.
+            since: Time of day at which it started (s since the epoch); None: as in its previous entry.
+        """
+        previous = self.discovery.model.entries.get(name, {})
+        since_ms = previous.get("since_ms", 0) if since is None else round(since * 1000.0)
         zone = ZONE_NAMES[int(name[1:]) % self.scenario.fleet.zones]
         return {
             "name": name,
@@ -188,14 +217,19 @@
             "since_ms": since_ms,
         }
 
-    def document(
+    def make_document(
         self, version: int, zones: str, bad: bool = False, trial: dict | None = None
     ) -> dict[str, Any]:
-        """The settings as a document in which the non-retriable method is bound to these zones."""
-        settings = {name: value for name, value in self.settings(0).items() if name not in PER_PROXY_SETTINGS}
-        order = {"failureDomainsOnly": list(zones)} | ({"hardDeadlineNs": 1_000_000} if bad else {})
+        """Return the settings as a document that binds the non-retriable method to these zones.
+
+        A `bad` document sets a hard deadline of 1 ms for that method, which no cache can meet.
+        """
+        settings = {
+            name: value for name, value in self.proxy_settings(0).items() if name not in PER_PROXY_SETTINGS
+        }
+        order_fields = {"failureDomainsOnly": list(zones)} | ({"hardDeadlineNs": 1_000_000} if bad else {})
         methods = [
-            method | (order if method["name"] == "order" else {"keeps": ["place", "repeats"]})
+            method | (order_fields if method["name"] == "order" else {"keeps": ["place", "repeats"]})
             for method in settings["methods"]
         ]
         members = list(range(self.scenario.fleet.proxies))
@@ -215,7 +249,8 @@
 
     # Proxies
 
-    def settings(self, number: int) -> dict[str, Any]:
+    def proxy_settings(self, number: int) -> dict[str, Any]:
+        """Return the settings of proxy `number`."""
         scenario = self.scenario
         fleet, cache, traffic = scenario.fleet, scenario.cache, scenario.traffic
 
@@ -269,8 +304,8 @@
             },
         }
 
-    def node(self, number: int) -> dict[str, Any]:
-        """What proxy `number` is told."""
+    def node_file(self, number: int) -> dict[str, Any]:
+        """Return the configuration file of proxy `number`."""
         scenario, name = self.scenario, f"p{number}"
         fleet, cache = scenario.fleet, scenario.cache
         start: dict[str, Any] = {}
@@ -287,12 +322,12 @@
             if scenario.origin.per_s is not None:
                 start["fetchesPerS"] = scenario.origin.per_s
         if fleet.speak:
-            own = self.relays[number].port
+            relay_port = self.relays[number].port
             start |= {
                 "fleet": scenario.name,
-                "speak": f"127.0.0.1:{self.speaks[number]}",
+                "speak": f"127.0.0.1:{self.gossip_ports[number]}",
                 "watchesPerS": scenario.service.room,
-                "peers": [f"{address(i)}:{own}" for i in range(fleet.proxies)],
+                "peers": [f"{address(i)}:{relay_port}" for i in range(fleet.proxies)],
             }
         if fleet.lend_s is not None:
             start["lendS"] = fleet.lend_s
@@ -300,50 +335,52 @@
             start["witnesses"] = True
         if fleet.snapshot:
             start["snapshot"] = str(self.folder / name)
-        host, port = self.doors[name]
+        host, port = self.client_addresses[name]
         node = {
             "name": name,
             "listen": f"{host}:{port}",
             "mgmt": self.operator_addresses[number],
             "seed": f"{scenario.seed * 1000 + number + 1:x}",
-            "discovery": f"{address(number)}:{self.service.port}",
-            "settings": self.settings(number),
+            "discovery": f"{address(number)}:{self.discovery.port}",
+            "settings": self.proxy_settings(number),
             "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
         }
         if fleet.versions:
-            node["document"] = self.document(1, ZONE_NAMES[: fleet.zones])
+            node["document"] = self.make_document(1, ZONE_NAMES[: fleet.zones])
         if fleet.record:
             node["record"] = {"folder": str(self.folder / name / "record"), "level": "proxy", "segmentS": 3.0}
         return node | ({"start": start} if start else {})
 
-    async def launch_all(self) -> None:
+    async def launch_proxies(self) -> None:
+        """Launch the proxies one after the other, spread over the time that the scenario states."""
         fleet = self.scenario.fleet
         for number in range(fleet.proxies):
-            due = self.began + fleet.over * number / fleet.proxies
+            due = self.started_at + fleet.over * number / fleet.proxies
             if due > self.loop.time():
                 await asyncio.sleep(due - self.loop.time())
-            await self.launch(number)
+            await self.launch_proxy(number)
 
-    async def launch(self, number: int) -> None:
+    async def launch_proxy(self, number: int) -> None:
+        """Write the configuration file of a proxy and start its process."""
         name = f"p{number}"
-        home = self.folder / name
-        home.mkdir(parents=True, exist_ok=True)
-        (home / "node.json").write_bytes(orjson.dumps(self.node(number)))
-        if not any(file.name == str(home / "log") for file in self.files):
-            self.files.append((home / "log").open("wb"))
-        log = next(file for file in self.files if file.name == str(home / "log"))
-        told = {key: value for key, value in os.environ.items() if not key.startswith("PROXY_")}
-        told |= {"PROXY_CONFIG": str(home / "node.json"), "TMPDIR": str(home)}
+        proxy_folder = self.folder / name
+        proxy_folder.mkdir(parents=True, exist_ok=True)
+        (proxy_folder / "node.json").write_bytes(orjson.dumps(self.node_file(number)))
+        if not any(file.name == str(proxy_folder / "log") for file in self.log_files):
+            self.log_files.append((proxy_folder / "log").open("wb"))
+        log = next(file for file in self.log_files if file.name == str(proxy_folder / "log"))
+        environment = {key: value for key, value in os.environ.items() if not key.startswith("PROXY_")}
+        environment |= {"PROXY_CONFIG": str(proxy_folder / "node.json"), "TMPDIR": str(proxy_folder)}
         if self.program:
-            told["PYTHONPATH"] = self.program
-        command = self.commands.get(number, PROGRAM)
+            environment["PYTHONPATH"] = self.program
+        command = self.commands.get(number, DEFAULT_COMMAND)
         if self.scenario.fleet.accounts:
             command = [*command, "--log-level", "DEBUG"]
 
         def start() -> subprocess.Popen:
             process = subprocess.Popen(
                 command,
-                env=told,
+                env=environment,
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
@@ -351,213 +388,243 @@
                 close_fds=False,
             )
             with suppress(OSError):
-                os.sched_setaffinity(process.pid, self.cores)
+                os.sched_setaffinity(process.pid, self.proxy_cores)
             return process
 
         self.history.process_events.append(ProcessEvent(self.loop.time(), name, "launched"))
         process = await self.loop.run_in_executor(None, start)
         self.processes[name] = process
         if self.stopping:
-            self.kill(name)
+            self.kill_proxy(name)
             return
         self.watch_exit(name, process)
 
     def watch_exit(self, name: str, process: subprocess.Popen) -> None:
-        """Its end is recorded once."""
-        self.gone[name] = self.loop.create_future()
-        eye = os.pidfd_open(process.pid)
-        self.loop.add_reader(eye, self.exited, name, process, eye)
-
-    def exited(self, name: str, process: subprocess.Popen, eye: int) -> None:
-        self.loop.remove_reader(eye)
-        os.close(eye)
+        """Watch the process of a proxy, to record its exit once."""
+        self.exit_recorded[name] = self.loop.create_future()
+        process_fd = os.pidfd_open(process.pid)
+        self.loop.add_reader(process_fd, self.on_exit, name, process, process_fd)
+
+    def on_exit(self, name: str, process: subprocess.Popen, process_fd: int) -> None:
+        """Record the exit of a process and reap it."""
+        self.loop.remove_reader(process_fd)
+        os.close(process_fd)
         code = process.wait()
         if not self.stopping:
             self.history.process_events.append(ProcessEvent(self.loop.time(), name, "exited", code))
-        self.gone[name].set_result(None)
+        self.exit_recorded[name].set_result(None)
 
-    def kill(self, name: str) -> None:
+    def kill_proxy(self, name: str) -> None:
+        """Kill the process of a proxy if it runs."""
         process = self.processes.get(name)
         if process is not None and process.poll() is None:
             process.kill()
 
-    def send(self, name: str, number: int, what: str) -> None:
+    def signal_proxy(self, name: str, signal_number: int, what: str) -> None:
+        """Send a signal to the process of a proxy if it runs, and record that as `what`."""
         process = self.processes.get(name)
         if process is not None and process.poll() is None:
             self.history.process_events.append(ProcessEvent(self.loop.time(), name, what))
-            process.send_signal(number)
+            process.send_signal(signal_number)
 
     async def restart_proxy(self, name: str, forget: bool) -> None:
-        """Killed, and started again, with or without what it knew."""
-        self.send(name, signal.SIGKILL, "killed")
-        if name in self.gone:
-            # Guards against an end that is told behind the next start, and passes for that life's.
-            await self.gone[name]
+        """Kill a proxy and start it again; `forget`: without its snapshots."""
+        self.signal_proxy(name, signal.SIGKILL, "killed")
+        if name in self.exit_recorded:
+            # The exit could otherwise be recorded after the next start and be taken for that incarnation's.
+            await self.exit_recorded[name]
         if forget:
             for file in (self.folder / name).glob("*.snapshot"):
                 file.unlink()
-        await self.launch(int(name[1:]))
+        await self.launch_proxy(int(name[1:]))
 
-    # What happens
+    # Events of the scenario
 
-    def plan(self) -> None:
+    def schedule_events(self) -> None:
+        """Schedule the start and the end of each event."""
         for event in self.scenario.event:
-            self.loop.call_at(self.began + event.at, self.begin, event)
+            self.loop.call_at(self.started_at + event.at, self.begin_event, event)
             if event.until is not None and event.do not in ("burst",):
-                self.loop.call_at(self.began + event.until, self.finish, event)
+                self.loop.call_at(self.started_at + event.until, self.end_event, event)
 
-    def group(self, who: str) -> frozenset[str]:
+    def expand(self, who: str) -> frozenset[str]:
+        """Return the names of a group, such as `half` or `zone:a`."""
         fleet = self.scenario.fleet
         return expand_group(who, fleet.proxies, fleet.caches, fleet.zones)
 
-    def begin(self, event: Any) -> None:
+    def begin_event(self, event: Any) -> None:
+        """Carry out an event, or start it if it lasts."""
         do = event.do
-        self.tell(f"{event.at:6.1f} s  {do} {getattr(event, 'who', '')}")
+        self.report_progress(f"{event.at:6.1f} s  {do} {getattr(event, 'who', '')}")
         if do in ("kill", "term", "stop", "restart"):
-            ours = sorted((n for n in self.group(event.who) if n in self.doors), key=lambda n: int(n[1:]))
-            for place, name in enumerate(ours):
-                self.loop.call_later(event.over * place / len(ours), self.process, event, name)
+            proxies = sorted(
+                (n for n in self.expand(event.who) if n in self.client_addresses), key=lambda n: int(n[1:])
+            )
+            for index, name in enumerate(proxies):
+                self.loop.call_later(event.over * index / len(proxies), self.apply_process_event, event, name)
         elif do in ("cut", "slow", "delay", "reset", "lose"):
-            self.fault(event)
+            self.begin_link_fault(event)
         elif do == "service_down":
-            self.service.fall()
+            self.discovery.fall()
         elif do == "service_silent":
-            self.service.silent = True
+            self.discovery.silent = True
         elif do == "service_slow":
-            self.service.slow = event.amount
+            self.discovery.slow = event.amount
         elif do == "service_late":
-            self.service.model.late = event.amount
+            self.discovery.model.late = event.amount
         elif do == "service_room":
-            self.service.model.room = event.amount
+            self.discovery.model.room = event.amount
         elif do == "move":
-            self.clients.through = self.group(event.who)
+            self.clients.through = self.expand(event.who)
         elif do == "publish":
-            version = max((one.version for one in self.history.published_versions), default=0) + 1
+            version = (
+                max((publication.version for publication in self.history.published_versions), default=0) + 1
+            )
             self.history.published_versions.append(PublishedVersion(self.loop.time(), version, event.zones))
-            self.service.publish(self.document(version, event.zones, event.bad))
+            self.discovery.publish(self.make_document(version, event.zones, event.bad))
         elif do == "try":
-            whom = sorted(int(name[1:]) for name in self.group(event.who) & self.doors.keys())
+            members = sorted(int(name[1:]) for name in self.expand(event.who) & self.client_addresses.keys())
             self.history.canaries.append(
-                CanaryEvent(self.loop.time(), frozenset(f"p{one}" for one in whom), event.span, event.bad)
+                CanaryEvent(
+                    self.loop.time(), frozenset(f"p{number}" for number in members), event.span, event.bad
+                )
+            )
+            trial = {"members": members, "s": event.span, "worse": 0.05}
+            version = (
+                max((publication.version for publication in self.history.published_versions), default=0) + 1
             )
-            trial = {"members": whom, "s": event.span, "worse": 0.05}
-            version = max((one.version for one in self.history.published_versions), default=0) + 1
-            self.service.hand_on(self.document(version, event.zones, event.bad, trial))
+            self.discovery.hand_on(self.make_document(version, event.zones, event.bad, trial))
         elif do == "service_restart":
             if event.older:
-                del self.service.documents[-event.older :]
-            self.service.fall()
-            self.service.model.restart(int(event.amount))
-            self.service.down = False
-            if self.service.agents:
-                self.service.speak()
+                del self.discovery.documents[-event.older :]
+            self.discovery.fall()
+            self.discovery.model.restart(int(event.amount))
+            self.discovery.down = False
+            if self.discovery.agents:
+                self.discovery.speak()
         elif do != "burst":
-            self.cache(event)
+            self.apply_cache_event(event)
 
-    def process(self, event: Any, name: str) -> None:
+    def apply_process_event(self, event: Any, name: str) -> None:
+        """Carry out an event on the process of one proxy."""
         if event.do == "restart":
             self.clients.hold(self.restart_proxy(name, event.forget))
         else:
-            number, what = {
+            signal_number, what = {
                 "kill": (signal.SIGKILL, "killed"),
                 "term": (signal.SIGTERM, "termed"),
                 "stop": (signal.SIGSTOP, "stopped"),
             }[event.do]
-            self.send(name, number, what)
+            self.signal_proxy(name, signal_number, what)
 
-    def fault(self, event: Any) -> None:
+    def begin_link_fault(self, event: Any) -> None:
+        """Start a fault of links, and schedule its end."""
         changes: dict[str, Any] = {
             "slow": {"rate": event.amount},
             "delay": {"delay": event.amount},
             "reset": {"reset": True},
             "lose": {"loss": event.amount},
-            "cut": {way: True for way in ("cut_to", "cut_back") if event.way in ("both", way[4:])},
+            "cut": {
+                direction: True
+                for direction in ("cut_to", "cut_back")
+                if event.way in ("both", direction[4:])
+            },
         }[event.do]
-        ours = frozenset(name for name in self.group(event.who) if name.startswith("p"))
-        fault = LinkFault(ours, self.group(event.to), changes)
+        proxies = frozenset(name for name in self.expand(event.who) if name.startswith("p"))
+        fault = LinkFault(proxies, self.expand(event.to), changes)
         self.links.begin(self.loop.time(), fault)
-        self.changed()
+        self.notify_connections()
         if event.until is not None:
-            self.loop.call_at(self.began + event.until, self.heal, fault)
+            self.loop.call_at(self.started_at + event.until, self.end_link_fault, fault)
 
-    def heal(self, fault: LinkFault) -> None:
+    def end_link_fault(self, fault: LinkFault) -> None:
+        """End a fault of links."""
         self.links.end(self.loop.time(), fault)
-        self.changed()
+        self.notify_connections()
 
-    def changed(self) -> None:
-        for wire in list(self.connections):
-            wire.changed()
+    def notify_connections(self) -> None:
+        """Notify all connections that the faults in force have changed."""
+        for connection in list(self.connections):
+            connection.changed()
 
-    def cache(self, event: Any) -> None:
+    def apply_cache_event(self, event: Any) -> None:
+        """Carry out an event on caches."""
         now, wall = self.loop.time(), time.time()
-        for name in sorted(self.group(event.who)):
+        for name in sorted(self.expand(event.who)):
             if event.do == "drain":
-                self.service.change(self.entry(name, "DRAINING"))
+                self.discovery.change(self.endpoint_entry(name, "DRAINING"))
             elif event.do == "remove":
-                self.service.change(self.entry(name, "DELETED"))
+                self.discovery.change(self.endpoint_entry(name, "DELETED"))
             elif event.do == "sick":
                 self.caches[name].model.slow = max(1.0, event.amount)
             elif event.do == "sick_large":
                 self.caches[name].model.slow_large = max(1.0, event.amount)
-            else:  # add, cold: from nothing
+            else:  # add, cold: starts with an empty cache
                 self.caches[name].model.start(now)
                 self.history.cold_starts.setdefault(name, []).append(now)
-                self.service.change(self.entry(name, since=wall))
+                self.discovery.change(self.endpoint_entry(name, since=wall))
 
-    def finish(self, event: Any) -> None:
+    def end_event(self, event: Any) -> None:
+        """End an event that lasts."""
         do = event.do
         if do == "stop":
-            for name in self.group(event.who) & self.doors.keys():
-                self.send(name, signal.SIGCONT, "woken")
+            for name in self.expand(event.who) & self.client_addresses.keys():
+                self.signal_proxy(name, signal.SIGCONT, "woken")
         elif do in ("kill", "term"):
-            for name in sorted(self.group(event.who) & self.doors.keys()):
+            for name in sorted(self.expand(event.who) & self.client_addresses.keys()):
                 self.clients.hold(self.restart_proxy(name, event.forget))
         elif do == "service_down":
-            self.service.down = False
-            if self.service.agents:
-                self.service.speak()
+            self.discovery.down = False
+            if self.discovery.agents:
+                self.discovery.speak()
         elif do == "service_slow":
-            self.service.slow = 0.0
+            self.discovery.slow = 0.0
         elif do == "service_silent":
-            self.service.speak()
+            self.discovery.speak()
         elif do == "service_late":
-            self.service.model.late = 0.0
+            self.discovery.model.late = 0.0
         elif do == "service_room":
-            self.service.model.room = self.scenario.service.room
+            self.discovery.model.room = self.scenario.service.room
         elif do in ("sick", "sick_large"):
-            for name in self.group(event.who):
+            for name in self.expand(event.who):
                 model = self.caches[name].model
                 model.slow = model.slow_large = 1.0
 
-    # What is looked after
+    # Measurements
 
     def measure_lag(self) -> None:
+        """Record by how much this check is late, and schedule the next one."""
         now = self.loop.time()
-        if now - self.next_lag_check_at > LATE:
+        if now - self.next_lag_check_at > MIN_LAG_S:
             self.history.testbed_lags.append((now, now - self.next_lag_check_at))
-        self.next_lag_check_at = now + LOOK
+        self.next_lag_check_at = now + LAG_CHECK_INTERVAL_S
         self.loop.call_at(self.next_lag_check_at, self.measure_lag)
 
-    def usage(self) -> None:
-        """How long the proxy that waited longest for a core did so since the last look, by the system."""
-        worst = spent = 0.0
+    def record_processor_use(self) -> None:
+        """Record the processor time of all proxies since the last call, and the longest wait for a core.
+
+        Both come from the system's scheduler statistics.
+        """
+        longest_wait_s = processor_time_s = 0.0
         for process in self.processes.values():
             with suppress(OSError, ValueError):
-                figures = Path(f"/proc/{process.pid}/schedstat").read_text().split()
-                ran, before = self.waits.get(process.pid, (0, 0))
-                self.waits[process.pid] = int(figures[0]), int(figures[1])
-                spent += (int(figures[0]) - ran) / 1e9
-                worst = max(worst, (int(figures[1]) - before) / 1e9)
-        self.history.core_waits.append((self.loop.time(), worst))
-        self.history.processor_use.append((self.loop.time(), spent))
-
-    def progress(self) -> None:
-        self.usage()
-        heard = len({told.proxy for told in self.history.list_events})
-        asked = sum(ask.what == "asked" for ask in self.history.discovery_calls)
-        self.tell(
-            f"{self.loop.time() - self.began:6.1f} s  up {len(self.clients.up)}, lists {heard}, asked "
-            f"{asked}, RPCs {self.clients.given}, completed {self.clients.done}"
+                fields = Path(f"/proc/{process.pid}/schedstat").read_text().split()
+                ran_ns, waited_ns = self.scheduler_times.get(process.pid, (0, 0))
+                self.scheduler_times[process.pid] = int(fields[0]), int(fields[1])
+                processor_time_s += (int(fields[0]) - ran_ns) / 1e9
+                longest_wait_s = max(longest_wait_s, (int(fields[1]) - waited_ns) / 1e9)
+        self.history.core_waits.append((self.loop.time(), longest_wait_s))
+        self.history.processor_use.append((self.loop.time(), processor_time_s))
+
+    def report_status(self) -> None:
+        """Record processor use, and report the progress of the run."""
+        self.record_processor_use()
+        proxies_with_list = len({event.proxy for event in self.history.list_events})
+        watches_requested = sum(call.what == "asked" for call in self.history.discovery_calls)
+        self.report_progress(
+            f"{self.loop.time() - self.started_at:6.1f} s  up {len(self.clients.up)}, "
+            f"lists {proxies_with_list}, asked {watches_requested}, "
+            f"RPCs {self.clients.given}, completed {self.clients.done}"
         )
 
 
@@ -568,18 +635,29 @@
     commands: dict[int, list[str]] | None = None,
     progress: Callable[[str], None] = lambda line: None,
 ) -> tuple[Verdict, History]:
-    """Plays a drill to its end; all processes that it started are gone then, also after Ctrl-C."""
+    """Run a scenario to its end; no process that it started is left then, also after Ctrl-C.
+
+    Args:
+        scenario: What is run.
+        folder: Where configuration files, logs and records of the proxies go.
+        program: Root of another version of the program whose proxies are run; None: this one.
+        commands: Commands that start single proxies, by their number, in place of the usual one.
+        progress: Called with each line about the progress of the run.
+
+    Raises:
+        KeyboardInterrupt: The run was interrupted.
+    """
     folder.mkdir(parents=True, exist_ok=True)
-    stage = ScenarioRunner(scenario, folder, program, commands, progress)
+    runner = ScenarioRunner(scenario, folder, program, commands, progress)
 
     async def run() -> Verdict:
         loop, task = asyncio.get_running_loop(), asyncio.current_task()
-        for number in (signal.SIGINT, signal.SIGTERM):  # also where a shell has them ignored
+        for signal_number in (signal.SIGINT, signal.SIGTERM):  # also where a shell has them ignored
             with suppress(ValueError, RuntimeError):  # not in the main thread
-                loop.add_signal_handler(number, task.cancel)
-        return await stage.run()
+                loop.add_signal_handler(signal_number, task.cancel)
+        return await runner.run()
 
     try:
-        return asyncio.run(run()), stage.history
+        return asyncio.run(run()), runner.history
     except asyncio.CancelledError:
         raise KeyboardInterrupt from None
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -69,7 +69,7 @@
         async def launch(_number: int) -> None:
             stage.history.process_events.append(ProcessEvent(loop.time(), "p0", "launched"))
 
-        stage.launch, stage.processes["p0"] = launch, subprocess.Popen(["sleep", "60"])
+        stage.launch_proxy, stage.processes["p0"] = launch, subprocess.Popen(["sleep", "60"])
         stage.watch_exit("p0", stage.processes["p0"])
         await stage.restart_proxy("p0", False)
         loop.add_reader = watch
@@ -425,7 +425,7 @@
     async def run() -> dict[int, float]:
         stage = ScenarioRunner(small(fleet={"proxies": 4, "caches": 3, "speak": False}), tmp_path)
         stage.loop = asyncio.get_running_loop()
-        stage.build_servers()
+        stage.create_servers()
         stand = stage.caches["c0"]
         await stand.open()
         stand.sizes = lambda key: 8 << 20
@@ -715,10 +715,10 @@
     def operate(stage: ScenarioRunner) -> None:
         time.sleep(7.0)
         run, offices = CliRunner(), stage.operator_addresses[:7]
-        source = f"{address(0)}:{stage.service.port}"
+        source = f"{address(0)}:{stage.discovery.port}"
         for name, bad in (("bad", True), ("good", False)):
             file = tmp_path / f"{name}.json"
-            file.write_text(json.dumps(stage.document(2, "a", bad)))
+            file.write_text(json.dumps(stage.make_document(2, "a", bad)))
             said[name] = run.invoke(
                 main,
                 [
