--- a/calicofall/testbed/scenario.py
+++ b/calicofall/testbed/scenario.py
@@ -1,7 +1,10 @@
-"""Drills: what is played, read from TOML and checked.
+"""Scenarios: what the testbed runs, read from TOML and validated.
 
-Owns the form of a drill. Must never start anything, or let a wrong drill through: that is one line naming
-file, field and what would be right.
+The field names of the models are the keys of scenario files.
+
+Invariants:
+    Nothing is started here.
+    An invalid scenario is rejected with one line that names the file, the field and what was expected.
 """
 
 import tomllib
@@ -10,95 +13,110 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-LARGE_VALUE_BYTES, SMALL_VALUE_BYTES = 20_000, 64  # bytes of a value
+LARGE_VALUE_BYTES, SMALL_VALUE_BYTES = 20_000, 64
 ZONE_NAMES = "abcdefgh"
-CLOCK_DRIFT, MAX_PAUSE_S = 0.01, 0.5  # of the clocks, and s: what the documents of a drill state
+CLOCK_DRIFT, MAX_PAUSE_S = 0.01, 0.5  # share of the elapsed time, and s; stated in settings documents
 SCENARIO_FOLDER = Path(__file__).parent / "scenarios"
 Share = Annotated[float, Field(ge=0.0, le=1.0)]
-Over0 = Annotated[float, Field(gt=0.0)]
-From0 = Annotated[float, Field(ge=0.0)]
-Count = Annotated[int, Field(ge=1)]
+PositiveNumber = Annotated[float, Field(gt=0.0)]
+NonNegativeNumber = Annotated[float, Field(ge=0.0)]
+PositiveInteger = Annotated[int, Field(ge=1)]
 
 
 class InvalidScenarioError(Exception):
-    """What is wrong with a drill, in one line."""
+    """A scenario is invalid; says in one line where and why."""
+
 
+class ScenarioTable(BaseModel):
+    """A table of a scenario file; keys that are not known are rejected."""
 
-class Part(BaseModel):
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Fleet(Part):
+class Fleet(ScenarioTable):
+    """The proxies, the caches and what the proxies are configured to do."""
+
     proxies: Annotated[int, Field(ge=1, le=1000)]
     caches: Annotated[int, Field(ge=1, le=200)] = 10
     zones: Annotated[int, Field(ge=1, le=8)] = 2
-    over: From0 = 0.0  # s over which the proxies are launched
-    speak: bool = False  # proxies ask each other who stands in line
-    told: bool = True  # the operators' file tells the room of the list service and of the caches
-    snapshot: bool = False  # proxies keep one
-    versions: bool = False  # settings by documents, on which the proxies agree
-    lend_s: Annotated[float, Field(ge=1.0)] | None = None  # proxies lend each other parts of limits
-    witnesses: bool = False  # proxies tell each other what they saw of caches
-    accounts: bool = False  # proxies log what became of each RPC, and why
-    record: bool = False  # proxies record what they are told and decide
-    lease_s: Annotated[float, Field(ge=0.5)] = 2.0
-    memory_mb: Annotated[int, Field(ge=32)] = 64
-    sockets: Annotated[int, Field(ge=64)] = 256
-
-
-class ServiceRoom(Part):
-    room: Over0 = 100.0  # watches begun a second
-    open: Count = 10_000
-    retry_after_s: Annotated[int, Field(ge=0)] | None = None
-    queue: Annotated[int, Field(ge=0)] = 0
-    agents: bool = False  # an agent beside each proxy: answers at once, silent while the service is down
-
-
-class CacheRoom(Part):
-    slots: Count = 8
-    queue: Annotated[int, Field(ge=0)] = 64
-    connections: Count = 256
-    handshakes: Over0 | None = None  # a second, told to the proxies where given
-    in_flight: Over0 | None = None  # RPCs of the whole fleet at a time, likewise
-    handshake_ms: From0 = 2.0
-    hit_ms: Over0 = 4.0
-    keys: Count = 5000
-    reports: bool = False  # caches tell their load with each answer
-    cold: bool = True  # all caches begin cold
-    cold_share: Annotated[float, Field(gt=0.0, le=1.0)] = 0.2
-    cold_s: Over0 = 10.0
-    fall_multiple: Over0 = 3.0
-    fall_s: Over0 = 2.0
-
-
-class OriginRoom(Part):
-    fetches: Count = 40
-    fetch_ms: Over0 = 30.0
-    per_s: Over0 | None = None  # fetches of the whole fleet, told to the proxies where given
-
-
-class Traffic(Part):
-    per_s: Over0 = 100.0
-    begins: From0 = 0.0  # s
-    keys: Count = 500
-    skew: From0 = 0.8
-    writes: Share = 0.1  # deduped
-    orders: Share = 0.05  # non-retriable
-    soft_ms: Over0 = 500.0
-    hard_ms: Over0 = 1500.0
-    repeats: Annotated[int, Field(ge=0)] = 3  # of a client that was refused
-    large: Share = 0.0  # of the keys with values of 20 kB
-    hot: Share = 0.0  # of the RPCs, those of one key, from `hot_at` s on
-    hot_at: From0 = 0.0
-    notices_s: From0 = 1.0  # after which the front notices a dead proxy
-    bulk: Share = 0.0  # of the RPCs, those of a second tenant
-    quota: Over0 | None = None  # of the first tenant, a second; else twice the traffic
-    bulk_quota: Over0 = 1.0  # of the second
-    record: str | None = None  # a file of arrivals, as `calicofall record traffic` writes it, in their place
-    through: str | None = None  # the proxies that the first tenant's clients ask, as an event's `who`
-
-
-Who = Annotated[
+    over: NonNegativeNumber = 0.0  # s over which the launches of the proxies are spread
+    speak: bool = False  # proxies exchange messages, also on whose turn it is to call the discovery service
+    told: bool = True  # the proxies' files state the capacity of the discovery service and the caches
+    snapshot: bool = False  # proxies keep snapshots
+    versions: bool = False  # settings come as documents on which the proxies agree
+    # lend_s: length of a lease; proxies lend each other parts of limits
+    lend_s: Annotated[float, Field(ge=1.0)] | None = None
+    witnesses: bool = False  # proxies exchange evidence on caches
+    accounts: bool = False  # proxies log the outcome of each request and its reason
+    record: bool = False  # proxies record their inputs and decisions
+    lease_s: Annotated[float, Field(ge=0.5)] = 2.0  # of settings documents
+    memory_mb: Annotated[int, Field(ge=32)] = 64  # limit of each proxy
+    sockets: Annotated[int, Field(ge=64)] = 256  # limit of each proxy
+
+
+class ServiceCapacity(ScenarioTable):
+    """The capacity of the emulated discovery service."""
+
+    room: PositiveNumber = 100.0  # watches that can begin, a second
+    open: PositiveInteger = 10_000  # watches at a time
+    retry_after_s: Annotated[int, Field(ge=0)] | None = None  # of Retry-After with a refusal; None: no header
+    queue: Annotated[int, Field(ge=0)] = 0  # watches that wait beyond the rate, before others are refused
+    # agents: an agent beside each proxy answers at once, but sends nothing while the service is down
+    agents: bool = False
+
+
+class CacheCapacity(ScenarioTable):
+    """The capacity and the load behaviour of each emulated cache."""
+
+    slots: PositiveInteger = 8  # commands executed at a time
+    queue: Annotated[int, Field(ge=0)] = 64  # commands that wait
+    connections: PositiveInteger = 256  # open at a time
+    handshakes: PositiveNumber | None = None  # a second; stated in the proxies' files where it is given
+    in_flight: PositiveNumber | None = None  # requests of the whole fleet at a time; stated likewise
+    handshake_ms: NonNegativeNumber = 2.0
+    hit_ms: PositiveNumber = 4.0
+    keys: PositiveInteger = 5000  # that a cache holds
+    reports: bool = False  # caches report their load with each response
+    cold: bool = True  # all caches start empty
+    cold_share: Annotated[float, Field(gt=0.0, le=1.0)] = 0.2  # of the capacity, at the start of the warm-up
+    cold_s: PositiveNumber = 10.0  # of the warm-up
+    fall_multiple: PositiveNumber = 3.0  # of the capacity, from which on a cache collapses
+    fall_s: PositiveNumber = 2.0  # span in which that load is measured, and for which the cache is down
+
+
+class OriginCapacity(ScenarioTable):
+    """The capacity of the emulated origin."""
+
+    fetches: PositiveInteger = 40  # at a time
+    fetch_ms: PositiveNumber = 30.0
+    # per_s: fetches of the whole fleet; stated in the proxies' files where it is given
+    per_s: PositiveNumber | None = None
+
+
+class Traffic(ScenarioTable):
+    """The requests of the clients."""
+
+    per_s: PositiveNumber = 100.0  # requests
+    begins: NonNegativeNumber = 0.0  # s after the start of the run
+    keys: PositiveInteger = 500
+    skew: NonNegativeNumber = 0.8  # exponent of the Zipf distribution of the keys
+    writes: Share = 0.1  # of the requests: deduplicated writes
+    orders: Share = 0.05  # of the requests: non-retriable writes
+    soft_ms: PositiveNumber = 500.0  # latency objective
+    hard_ms: PositiveNumber = 1500.0  # deadline
+    repeats: Annotated[int, Field(ge=0)] = 3  # retries of a client that was refused
+    large: Share = 0.0  # of the keys, those with values of 20 kB
+    hot: Share = 0.0  # of the requests, those for one key, from `hot_at` on
+    hot_at: NonNegativeNumber = 0.0  # s
+    notices_s: NonNegativeNumber = 1.0  # after which the load balancer detects a dead proxy
+    bulk: Share = 0.0  # of the requests, those of a second tenant
+    quota: PositiveNumber | None = None  # requests a second of the first tenant; None: twice the traffic
+    bulk_quota: PositiveNumber = 1.0  # requests a second of the second tenant
+    record: str | None = None  # a file written by `calicofall record traffic`, whose requests replace these
+    through: str | None = None  # the proxies that the first tenant's clients use, as an event's `who`
+
+
+Group = Annotated[
     str,
     Field(
         pattern=r"^(all|half|third|caches|list|proxies|zone:[a-h]|[pc]\d+(-[pc]?\d+)?)"
@@ -107,58 +125,78 @@
 ]
 
 
-class Timed(Part):
-    at: From0  # s
-    until: From0 | None = None  # where it ends by itself
+class TimedEvent(ScenarioTable):
+    """An event that starts at a time, and may end at a later one."""
+
+    at: NonNegativeNumber  # s
+    until: NonNegativeNumber | None = None  # s; None: it does not end by itself
 
     @model_validator(mode="after")
-    def later(self) -> "Timed":
+    def check_until(self) -> "TimedEvent":
+        """Check that the event ends after its start.
+
+        Raises:
+            ValueError: It does not.
+        """
         if self.until is not None and self.until <= self.at:
-            raise ValueError("until has to come after at")
+            raise ValueError("until has to be later than at")
         return self
 
 
-class ProcessEvent(Timed):
-    do: Literal["kill", "term", "stop", "restart"]  # restart: killed, and started again
-    who: Who
-    over: From0 = 0.0  # s over which they follow each other
-    forget: bool = False  # without what it knew
+class ProcessEvent(TimedEvent):
+    """A signal to the processes of proxies."""
+
+    do: Literal["kill", "term", "stop", "restart"]  # restart: kill, then start again
+    who: Group
+    over: NonNegativeNumber = 0.0  # s over which the processes are signalled one after the other
+    forget: bool = False  # start again without snapshots
 
 
-class LinkEvent(Timed):
+class LinkEvent(TimedEvent):
+    """A fault of the links between two groups."""
+
     do: Literal["cut", "slow", "delay", "reset", "lose"]
-    who: Who = "all"
-    to: Who = "caches"
+    who: Group = "all"
+    to: Group = "caches"
     way: Literal["both", "to", "back"] = "both"
-    amount: From0 = 0.0  # s of delay, bytes a second, part lost
+    amount: NonNegativeNumber = 0.0  # delay: s; slow: bytes a second; lose: share of the datagrams
+
 
+class ServiceEvent(TimedEvent):
+    """A fault of the discovery service."""
 
-class ServiceEvent(Timed):
     do: Literal[
         "service_down", "service_silent", "service_slow", "service_late", "service_restart", "service_room"
     ]
-    amount: From0 = 0.0  # s slow or late, the first version after a restart, room
-    older: Annotated[int, Field(ge=0)] = 0  # documents that a restarted service has forgotten
+    # amount: service_slow, service_late: s; service_restart: first list version; service_room: room
+    amount: NonNegativeNumber = 0.0
+    older: Annotated[int, Field(ge=0)] = 0  # latest documents that a restarted service has lost
 
 
-class CacheEvent(Timed):
-    # sick_large: for large answers alone; burst: traffic times amount
+class CacheEvent(TimedEvent):
+    """A change of caches, or a burst of traffic."""
+
+    # sick: `amount` times slower; sick_large: so for large values only; burst: `amount` times the traffic
     do: Literal["drain", "remove", "add", "cold", "sick", "sick_large", "burst"]
-    who: Who = "all"
-    amount: From0 = 0.0
+    who: Group = "all"
+    amount: NonNegativeNumber = 0.0
+
 
+class VersionEvent(TimedEvent):
+    """A settings document that is published or tried as a canary."""
 
-class VersionEvent(Timed):
-    do: Literal["publish", "try"]  # a document that binds the non-retriable method to these zones
+    do: Literal["publish", "try"]  # a document that binds the non-retriable method to `zones`
     zones: Annotated[str, Field(pattern=r"^[a-h]+$")]
-    who: Who = "p0"  # by whom it is tried
-    span: Over0 = 10.0  # s of a trial
-    bad: bool = False  # the method's hard deadline is one that no cache keeps
+    who: Group = "p0"  # the proxies that try it
+    span: PositiveNumber = 10.0  # s that it is tried
+    bad: bool = False  # its hard deadline for the method is too short for any cache
 
 
-class TrafficEvent(Timed):
-    do: Literal["move"]  # the first tenant's clients ask these proxies from now on
-    who: Who
+class TrafficEvent(TimedEvent):
+    """A move of the first tenant's clients to other proxies."""
+
+    do: Literal["move"]  # the first tenant's clients use only the proxies `who` from `at` on
+    who: Group
 
 
 Event = Annotated[
@@ -167,110 +205,137 @@
 ]
 
 
-class ExpectedBounds(Part):
-    """What has to hold, beside the four rules. None: not asked."""
-
-    asks_per_room: Over0 | None = None  # asked of the service in any second, over its room
-    list_factor: Over0 | None = None  # last list heard after the last launch, over proxies / room
-    handshakes: Over0 | None = None  # at any cache in any second
-    connections: Count | None = None  # held at any cache
-    fetches: Count | None = None  # asked of the origin at one time
-    fetches_per_s: Over0 | None = None  # asked of the origin in any second
-    in_flight: Over0 | None = None  # sent to any cache and not answered, at one time
-    list_before_door: bool = True  # no proxy says yes before it was told a list
-    told_all_s: Over0 | None = None  # from when the first was told that a cache drains until all were
-    settled_s: Over0 | None = None  # a version forbids for all so long after a majority was handed it
-    avoided_s: Over0 | None = None  # so long after a sick cache is sent 3/4 at most, healthy ones half
-    halted_s: Over0 | None = None  # a bad version that is tried fails no more so long after it was handed
-    served: Share | None = None  # of the RPCs of the last third, completed in time
-    served_first: Share | None = None  # of the first tenant's, likewise
-    serves_all_s: Over0 | None = None  # by when all proxies say yes
+class ExpectedBounds(ScenarioTable):
+    """Bounds that have to hold in addition to the four rules. None: not checked."""
+
+    # asks_per_room: watches requested in any second, divided by the room of the service
+    asks_per_room: PositiveNumber | None = None
+    # list_factor: s from the last launch until all proxies have a list, over proxies / room; 1 s is added
+    list_factor: PositiveNumber | None = None
+    handshakes: PositiveNumber | None = None  # at any cache in any second
+    connections: PositiveInteger | None = None  # open at any cache at one time
+    fetches: PositiveInteger | None = None  # from the origin at one time
+    fetches_per_s: PositiveNumber | None = None  # from the origin in any second
+    in_flight: PositiveNumber | None = None  # requests in flight at any cache at one time
+    list_before_door: bool = True  # no proxy answers PING before it received a list
+    told_all_s: PositiveNumber | None = None  # from the first proxy notified of a drain to the last
+    # settled_s: after a majority received a version, until no proxy does what it forbids
+    settled_s: PositiveNumber | None = None
+    # avoided_s: after a cache turns sick, until it is sent 3/4 at most; healthy ones at least 1/2
+    avoided_s: PositiveNumber | None = None
+    # halted_s: after a harmful version is tried, until it fails no more requests
+    halted_s: PositiveNumber | None = None
+    served: Share | None = None  # of the requests of the last third, those completed in time
+    served_first: Share | None = None  # likewise, of the first tenant's requests
+    serves_all_s: PositiveNumber | None = None  # after the start, until all proxies answer PING
+
+
+class Scenario(ScenarioTable):
+    """A whole scenario; `event` is in the order of the file."""
 
-
-class Scenario(Part):
     name: Annotated[str, Field(pattern=r"^[a-z0-9-]+$")]
     about: str = ""
     seconds: Annotated[float, Field(gt=0.0, le=3600.0)]
     seed: int = 1
     fleet: Fleet
-    service: ServiceRoom = ServiceRoom()
-    cache: CacheRoom = CacheRoom()
-    origin: OriginRoom = OriginRoom()
+    service: ServiceCapacity = ServiceCapacity()
+    cache: CacheCapacity = CacheCapacity()
+    origin: OriginCapacity = OriginCapacity()
     traffic: Traffic = Traffic()
     event: list[Event] = []
     must: ExpectedBounds = ExpectedBounds()
 
     def has_large_value(self, key: str) -> bool:
-        """Whether a key has a large value."""
+        """Return whether a key has a large value."""
         return int(key, 16) <= int(self.traffic.large * self.traffic.keys)
 
     def hot_key_active(self, at: float) -> bool:
+        """Return whether the hot key is requested at this time (s after the start of the run)."""
         return at >= self.traffic.hot_at
 
     @model_validator(mode="after")
-    def fits(self) -> "Scenario":
+    def check_consistency(self) -> "Scenario":
+        """Check fields that depend on each other.
+
+        Raises:
+            ValueError: An event starts after the end, or a field contradicts another.
+        """
         for event in self.event:
             if event.at >= self.seconds:
-                raise ValueError(f"an event at {event.at:g} s comes after the end, {self.seconds:g} s")
+                raise ValueError(
+                    f"an event at {event.at:g} s starts after the end of the scenario, {self.seconds:g} s"
+                )
         if (self.fleet.lend_s is not None or self.fleet.witnesses) and not self.fleet.speak:
-            raise ValueError("fleet.speak has to be true where fleet.lend_s or fleet.witnesses is told")
+            raise ValueError("fleet.speak has to be true where fleet.lend_s or fleet.witnesses is set")
         if self.fleet.versions and not self.fleet.speak:
-            raise ValueError("fleet.speak has to be true where fleet.versions is")
+            raise ValueError("fleet.speak has to be true where fleet.versions is true")
         if self.cache.connections < self.fleet.proxies and self.fleet.told:
-            raise ValueError(f"cache.connections is under the number of proxies, {self.fleet.proxies}")
+            raise ValueError(
+                f"cache.connections has to be at least the number of proxies, {self.fleet.proxies}"
+            )
         return self
 
 
 def parse_scenario(data: dict[str, Any], file: str) -> Scenario:
+    """Return the scenario in the data of a file.
+
+    Raises:
+        InvalidScenarioError: The data is invalid; `file` is named in the message.
+    """
     try:
         return Scenario.model_validate(data)
-    except ValidationError as wrong:
-        first = wrong.errors()[0]
-        field = ".".join(str(part) for part in first["loc"]) or "the drill"
+    except ValidationError as error:
+        first = error.errors()[0]
+        field = ".".join(str(part) for part in first["loc"]) or "the scenario"
         raise InvalidScenarioError(
             f"{file}: {field}: {first['msg']} (found {str(first['input'])[:60]!r})"
         ) from None
 
 
 def load_scenario(path: str) -> Scenario:
-    """A drill from a file, or a ready one by its name."""
+    """Return the scenario in a file, or a shipped one by its name.
+
+    Raises:
+        InvalidScenarioError: The file cannot be read or is invalid.
+    """
     file = Path(path)
     if not file.exists() and (SCENARIO_FOLDER / f"{path}.toml").exists():
         file = SCENARIO_FOLDER / f"{path}.toml"
     try:
         return parse_scenario(tomllib.loads(file.read_text()), str(path))
-    except OSError as reason:
+    except OSError as error:
         raise InvalidScenarioError(
-            f"{path}: {reason.strerror}: a drill's file, or one of {', '.join(shipped_scenarios())}"
+            f"{path}: {error.strerror}: expected a scenario file or one of {', '.join(shipped_scenarios())}"
         ) from None
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as reason:
-        raise InvalidScenarioError(f"{path}: no TOML: {reason}") from None
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise InvalidScenarioError(f"{path}: no TOML: {error}") from None
 
 
 def shipped_scenarios() -> list[str]:
+    """Return the names of the scenarios that ship with the program."""
     return sorted(file.stem for file in SCENARIO_FOLDER.glob("*.toml"))
 
 
 def expand_group(who: str, proxies: int, caches: int, zones: int) -> frozenset[str]:
-    """The names that a group stands for: proxies p0, p1, ..., caches c0, c1, ..., the service `list`."""
-    out: set[str] = set()
+    """Return the names of a group: proxies p0, p1, ..., caches c0, c1, ..., the discovery service `list`."""
+    expanded: set[str] = set()
     for part in who.split(","):
         if part in ("all", "proxies"):
-            out.update(f"p{i}" for i in range(proxies))
+            expanded.update(f"p{i}" for i in range(proxies))
         elif part in ("half", "third"):
             step = 2 if part == "half" else 3
-            out.update(f"p{i}" for i in range(0, proxies, step))
+            expanded.update(f"p{i}" for i in range(0, proxies, step))
         elif part == "caches":
-            out.update(f"c{i}" for i in range(caches))
+            expanded.update(f"c{i}" for i in range(caches))
         elif part == "list":
-            out.add("list")
+            expanded.add("list")
         elif part.startswith("zone:"):
             zone = ZONE_NAMES.index(part[5:])
-            out.update(f"p{i}" for i in range(proxies) if i % zones == zone)
-            out.update(f"c{i}" for i in range(caches) if i % zones == zone)
+            expanded.update(f"p{i}" for i in range(proxies) if i % zones == zone)
+            expanded.update(f"c{i}" for i in range(caches) if i % zones == zone)
         else:
             first, _, last = part.partition("-")
             kind, begin = first[0], int(first[1:])
             end = int(last.lstrip("pc")) if last else begin
-            out.update(f"{kind}{i}" for i in range(begin, end + 1))
-    return frozenset(out)
+            expanded.update(f"{kind}{i}" for i in range(begin, end + 1))
+    return frozenset(expanded)
