--- a/calicofall/cli/testbed.py
+++ b/calicofall/cli/testbed.py
@@ -111,8 +111,8 @@
         )
     except KeyboardInterrupt:
         raise Stop("stopped: all that was started has ended") from None
-    testbed.report.keep(folder, scenario, verdict, history)
-    testbed.report.table(testbed.report.load([str(folder)]))
+    testbed.report.write_result(folder, scenario, verdict, history)
+    testbed.report.print_results(testbed.report.load_results([str(folder)]))
     click.echo(f"{scenario.name}: {verdict.outcome}; {folder}")
     if verdict.void_reason:
         sys.exit(VOID)
@@ -197,7 +197,7 @@
             scenario = scenario.model_copy(update={"fleet": fleet})
         folder = self.folder / scenario.name
         verdict, history = self.testbed.run_scenario(scenario, folder)
-        self.testbed.report.keep(folder, scenario, verdict, history)
+        self.testbed.report.write_result(folder, scenario, verdict, history)
         rules = {finding.rule for finding in verdict.findings}
         click.echo(f"{scenario.name}: {verdict.outcome} {verdict.void_reason}{', '.join(sorted(rules))}")
         self.void += bool(verdict.void_reason)
@@ -288,10 +288,10 @@
     """Results side by side, from files or folders."""
     report = load_testbed().report
     try:
-        loaded = report.load(list(results))
+        loaded = report.load_results(list(results))
     except report.InvalidResultError as error:
         raise Stop(str(error)) from error
-    report.table(loaded)
+    report.print_results(loaded)
     if chart:
-        report.chart(loaded, chart)
+        report.write_chart(loaded, chart)
         click.echo(chart)
--- a/calicofall/testbed/history.py
+++ b/calicofall/testbed/history.py
@@ -1,6 +1,6 @@
 """The history of a run: events seen by the emulated servers, the clients and the runner.
 
-All events carry times of one monotonic clock (s). The invariant checker reads the history after the run.
+All events carry times of one monotonic clock (s). The checker reads the history after the run.
 
 Invariants:
     Nothing that a proxy says about itself is recorded here, and nothing is judged while recording.
@@ -11,7 +11,7 @@
 
 
 class UpstreamSend(NamedTuple):
-    """A command that reached an emulated cache node: when its bytes left the proxy (s), its timeout (ms)."""
+    """A command that reached an emulated cache node; `at` is when its bytes left the proxy."""
 
     at: float
     proxy: str
@@ -49,25 +49,30 @@
     proxy: str
     id: str
     method: str
-    deadline_s: float  # after `at`
+    deadline_s: float  # s after `at`
 
 
 class ClientAnswer(NamedTuple):
-    """The end of a client's attempt: an answer, a closed connection, or none in time."""
+    """The end of a client's attempt: an answer, a closed connection, or none in time.
+
+    Kinds without an answer of the attempt's own: `another's` (the value of another attempt), `crossed` (the
+    connection closed before any byte of the answer), `closed` (it closed after one), `none` (no answer in
+    time), `unowed` (an answer, but no attempt was waiting).
+    """
 
     at: float
     proxy: str
     id: str  # empty: no attempt was waiting on that connection
-    kind: str  # completed, exhausted, errored, another's, closed, crossed, none
+    kind: str  # completed, exhausted, errored, another's, crossed, closed, none, unowed
 
 
 class ProcessEvent(NamedTuple):
-    """A change in the life of a proxy's process, made or seen by the runner."""
+    """A start, signal or exit of a proxy's process, made or seen by the runner."""
 
     at: float
     proxy: str
-    what: str  # launched, up (its process runs), killed, termed, stopped, woken, exited
-    code: int | None = None
+    what: str  # launched, killed, termed (SIGTERM), stopped, woken, exited
+    code: int | None = None  # exit code, where it exited
 
 
 class DiscoveryCall(NamedTuple):
@@ -79,11 +84,11 @@
 
 
 class PublishedVersion(NamedTuple):
-    """A version of the settings that was published, and the zones that it names."""
+    """A version of the settings that was published."""
 
     at: float
     version: int
-    zones: str
+    zones: str  # a letter each, to which non-retriable requests are bound
 
 
 class CanaryEvent(NamedTuple):
@@ -91,8 +96,8 @@
 
     at: float
     proxies: frozenset[str]
-    duration_s: float
-    harmful: bool  # whether it does harm
+    duration_s: float  # for which it is tried
+    harmful: bool  # whether it fails non-retriable requests
 
 
 class UpstreamConnectionEvent(NamedTuple):
--- a/calicofall/testbed/report.py
+++ b/calicofall/testbed/report.py
@@ -54,8 +54,12 @@
     """A file that holds no result of a scenario; says which file and why."""
 
 
-def keep(folder: Path, scenario: Scenario, verdict: Verdict, history: History) -> Path:
-    """Write result.json: verdict, figures, counts by second, and the loss breakdown where it is requested."""
+def write_result(folder: Path, scenario: Scenario, verdict: Verdict, history: History) -> Path:
+    """Write result.json: verdict, figures, counts by second, and the loss breakdown where it is requested.
+
+    Returns:
+        The path of the file.
+    """
     path = folder / "result.json"
     breakdown = {"account": loss_breakdown(scenario, history, folder)} if scenario.fleet.accounts else {}
     result = breakdown | {
@@ -101,7 +105,7 @@
             yield "completed", request.completed_at
 
 
-def load(paths: list[str]) -> list[Result]:
+def load_results(paths: list[str]) -> list[Result]:
     """Return results by file or folder.
 
     Raises:
@@ -117,11 +121,11 @@
     except (OSError, ValueError) as error:
         raise InvalidResultError(f"{file}: {getattr(error, 'strerror', None) or error}") from error
     if not isinstance(result, dict) or "figures" not in result:
-        raise InvalidResultError(f"{file}: no result of a drill")
+        raise InvalidResultError(f'{file}: not the result of a scenario: it has no "figures"')
     return result
 
 
-def table(results: list[Result]) -> None:
+def print_results(results: list[Result]) -> None:
     """Print results side by side, then loss breakdowns and findings."""
     from rich.console import Console
 
@@ -137,7 +141,7 @@
 def _print_figures(console: "Console", results: list[Result]) -> None:
     from rich.table import Table
 
-    figures = Table(title="drills: stand-ins on loopback")
+    figures = Table(title="scenarios: emulated servers on loopback")
     figures.add_column("")
     for result in results:
         head = f"{result['drill']}\n{result['proxies']} proxies\nseed {result['seed']}"
@@ -183,8 +187,8 @@
         console.print(f"{scenario_name}: {len(findings) - MAX_FINDINGS_SHOWN} more")
 
 
-def chart(results: list[Result], file: str) -> None:
-    """Write a picture of what was seen by second."""
+def write_chart(results: list[Result], file: str) -> None:
+    """Write a chart of the events of each second, a plot for each result."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -194,7 +198,9 @@
     for (plot,), result in zip(axes, results, strict=True):
         for name, counts in result["by_second"].items():
             plot.plot(range(len(counts)), counts, label=name)
-        plot.set_title(f"{result['drill']}, {result['proxies']} proxies: {result['verdict']} (stand-ins)")
+        plot.set_title(
+            f"{result['drill']}, {result['proxies']} proxies: {result['verdict']} (emulated servers)"
+        )
         plot.set_xlabel("s")
         plot.set_ylabel("a second")
         plot.legend(fontsize="small")
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -175,8 +175,8 @@
         "accounted",
     )
     verdict, records = asyncio.run(asyncio.to_thread(run_scenario, plan, tmp_path))
-    report.keep(tmp_path, plan, verdict, records)
-    told = report.load([str(tmp_path)])[0]["account"]
+    report.write_result(tmp_path, plan, verdict, records)
+    told = report.load_results([str(tmp_path)])[0]["account"]
     late = [
         one for one in records.client_requests if one.completed_at is None or one.completed_at > one.at + 0.2
     ]
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -894,7 +894,7 @@
 
 def test_results_are_kept_shown_and_drawn(tmp_path: Path) -> None:
     records = seen()
-    report.keep(tmp_path, small(), check_history(small(), records), records)
+    report.write_result(tmp_path, small(), check_history(small(), records), records)
     chart = tmp_path / "chart.png"
     result = CliRunner().invoke(main, ["stage", "report", str(tmp_path), "--chart", str(chart)])
     assert result.exit_code == 0 and "passed" in result.output and chart.stat().st_size > 1000
