--- a/calicofall/cli/testbed.py
+++ b/calicofall/cli/testbed.py
@@ -122,7 +122,7 @@
             told=lambda line: None if quiet else click.echo(line, err=True),
         )
     except KeyboardInterrupt:
-        raise TestbedCommandError("interrupted: all started processes have ended") from None
+        raise TestbedCommandError("stopped: all started processes have ended") from None
     testbed.report.keep(folder, scenario, verdict, history)
     testbed.report.table(testbed.report.load([str(folder)]))
     click.echo(f"{scenario.name}: {verdict.word}; {folder}")
@@ -160,7 +160,7 @@
         for number in range(seed, seed + count):
             randomized.run(number, versions)
     except KeyboardInterrupt:
-        raise TestbedCommandError("interrupted: all started processes have ended") from None
+        raise TestbedCommandError("stopped: all started processes have ended") from None
     if versions:
         click.echo(
             f"{count - randomized.void} drills, {randomized.void} void, {randomized.orders} sends judged: "
