--- a/calicofall/cli/fleet.py
+++ b/calicofall/cli/fleet.py
@@ -1,5 +1,7 @@
 """The command groups `settings` (check, diff, steps, seal, try, publish, status) and `fleet` (status).
 
+A canary is called a trial in documents, replies of proxies and options.
+
 Invariants:
     - A document that is invalid, or that may not follow the version in force, is not published.
     - An error is reported as one line and an exit code of `ExitCode`.
@@ -20,12 +22,12 @@
 from calicofall.fleet.settings_document import SettingsDocument
 from calicofall.fleet.settings_fields import Binding
 
-CANARY_GRACE_S = 3.0  # time after the duration of a canary within which it has to end
+CANARY_GRACE_S = 3.0  # time after a canary's duration in which proxies may still report its result
 CANARY_POLL_S = 1.0  # maximum interval between polls of the proxies that try a document
 CANARY_POLLS = 5  # minimum number of polls during a canary
 SHOWN_CHARACTERS = 60  # maximum length at which a value of the settings is shown
 SHOWN_PROXIES = 8  # maximum number of proxies shown that do not see a proxy
-NO_STATE = ""  # state of a canary that a proxy has not reported yet
+NO_STATE = ""  # state of a canary while the proxy has not reported one
 UNFINISHED = (NO_STATE, CanaryState.TRYING)
 
 
@@ -41,6 +43,10 @@
 def load_document(path: str, sealed_only: bool = True) -> SettingsDocument:
     """Reads a document from a file.
 
+    Args:
+        path: path of the file.
+        sealed_only: whether the document's digest has to match.
+
     Raises:
         CommandError: if the file cannot be read, or the document is invalid.
     """
@@ -107,6 +113,7 @@
         click.echo(f"{file}: {error}")
     if errors:
         sys.exit(ExitCode.DIFFERENT)
+    # D is the longest time for which a proxy acts on this version alone once a majority holds a newer one.
     click.echo(
         f"{file}: version {document.version} of {document.fleet}, {len(document.members)} members, "
         f"{len(document.voters)} keepers, D {document.supersession_bound_s:.2f} s, digest {document.digest}"
@@ -126,7 +133,7 @@
 @click.argument("old", type=click.Path(dir_okay=False))
 @click.argument("new", type=click.Path(dir_okay=False))
 def diff(old: str, new: str) -> None:
-    """Show changes and whether they are binding. Exit: 0 none is binding, 1 some are, 2 invalid document."""
+    """Show changes and how they bind. Exit: 0 none binds or takes a restart, 1 some do, 2 invalid."""
     changes = settings_compatibility.changes(load_document(old).settings, load_document(new).settings)
     for change in changes:
         field = change.field
@@ -141,7 +148,7 @@
 @click.argument("old", type=click.Path(dir_okay=False))
 @click.argument("new", type=click.Path(dir_okay=False))
 def steps(old: str, new: str) -> None:
-    """Print the versions to publish in succession, one sealed document per line."""
+    """Print the versions to publish in succession to break no promise, one sealed document per line."""
     first = load_document(old)
     last = load_document(new)
     step_settings = settings_compatibility.publication_steps(first.settings, last.settings)
@@ -176,7 +183,7 @@
         """Prints the proxies that have not finished, and returns `OK` if all report success."""
         for address, state in self.states.items():
             if state in UNFINISHED:
-                click.echo(f"{address}: version {self.document.version}: no verdict yet")
+                click.echo(f"{address}: version {self.document.version}: no result yet")
         states = set(self.states.values())
         if CanaryState.FAILING in states:
             return ExitCode.DIFFERENT
@@ -186,6 +193,7 @@
         try:
             figures = query_proxy(address, "versions")
         except CommandError:  # the document that it tries may have ended the process
+            # Both texts below have the form "VERSION STATE why=REASON" of a proxy's reply.
             unreachable = f"{self.document.version} {CanaryState.FAILING} why=it does not answer"
             figures = {"settings.trial": unreachable}
         refused = figures.get("settings.refused", "").replace(" ", " refused why=", 1)
@@ -300,6 +308,7 @@
             f"{address}: in effect {figures['in_effect']}, held {figures['held']}, leased "
             f"{figures['leased']} ({figures['lease_left_s']} s), D {figures['bound_s']} s"
         )
+    # `leased` is 1 if the proxy has a lease.
     agreed = len(states) == 1 and all(leased == "1" for _, leased, _ in states)
     sys.exit(ExitCode.OK if agreed else ExitCode.DIFFERENT)
 
@@ -316,18 +325,18 @@
 )
 @click.argument("addresses", nargs=-1, required=True)
 def fleet_status(addresses: tuple[str, ...]) -> None:
-    """Shows the membership, the quotas and the outliers as seen by proxies."""
-    unreachable_to: dict[str, list[str]] = {}  # by proxy, the proxies that do not see it
+    """Shows the membership, the shares of limits and the decisions on caches, as seen by proxies."""
+    not_seen_by: dict[str, list[str]] = {}  # by proxy, the proxies that do not see it as present
     complete = True
     for address in addresses:
         figures = query_proxy(address, "members")
         complete = _show_membership(address, figures) and complete
-        _show_limits_and_verdicts(address)
+        _show_limits_and_decisions(address)
         for name, value in figures.items():
             if name.startswith("member.") and not value.startswith("here"):
                 member = name.removeprefix("member.")
-                unreachable_to.setdefault(member, []).append(figures["members.me"])
-    for member, proxies in sorted(unreachable_to.items(), key=lambda item: int(item[0])):
+                not_seen_by.setdefault(member, []).append(figures["members.me"])
+    for member, proxies in sorted(not_seen_by.items(), key=lambda item: int(item[0])):
         shown = ",".join(proxies[:SHOWN_PROXIES])
         click.echo(f"proxy {member}: not there to {len(proxies)} of {len(addresses)}: {shown}")
     sys.exit(ExitCode.OK if complete else ExitCode.DIFFERENT)
@@ -345,7 +354,7 @@
     return not isolated and counts["doubted"] == counts["away"] == "0"
 
 
-def _show_limits_and_verdicts(address: str) -> None:
+def _show_limits_and_decisions(address: str) -> None:
     for kind in ("limit", "verdict"):
         with suppress(CommandError):  # proxies without quota leases or outlier reports reject the call
             for name, value in query_proxy(address, f"{kind}s").items():
--- a/calicofall/config/settings.py
+++ b/calicofall/config/settings.py
@@ -1,7 +1,7 @@
 """The settings in the operators' file: their names, units and checks.
 
-Invariants: only this module converts the operators' names (settings documents in fleet/ contain them, too);
-all times are converted to milliseconds.
+Invariants: only this module converts the operators' names to the program's (fleet/ works on settings
+documents with the operators' names); all times are converted to milliseconds.
 """
 
 import re
@@ -19,9 +19,10 @@
 NS_PER_MS = 1_000_000
 DEFAULT_DESCRIPTORS = 1024
 DEFAULT_MEMORY_MB = 192
-MAX_REPORT_FIELDS = 4
+MAX_REPORT_FIELDS = 4  # fields of an endpoint's load report
 
-# The effect of a method as the settings state it, and whether the router may retry it.
+# By effect of a method in the settings, whether the router may retry it: always, where endpoints drop
+# duplicates, or only if it has certainly not run.
 RETRY_SAFETY = {"pure": "retriable", "token": "deduped", "side_effect": "non-retriable"}
 
 # Names of settings in the operators' file, in snake_case, and the names in the program.
@@ -43,8 +44,8 @@
     "spare_attempts": "retry_spare",
     "repeat_ratio": "retry_ratio",
     "resend_span": "retry_span",
-    "left_off": "clock_error",
-    "boot_stamp_error": "start_error",
+    "left_off": "clock_error",  # by which clocks of clients and of the proxy differ
+    "boot_stamp_error": "start_error",  # of the start times in endpoint lists
 }
 
 LOAD_REPORT_MODES = ("inline", "on_probe", "off")
@@ -52,6 +53,8 @@
 RETRY_BUDGET_RULES = {"spareAttempts", "repeatRatio"}
 NON_NEGATIVE_RULES = ("spareAttempts", "repeatRatio", "leftOffNs", "bootStampErrorNs")
 OBJECTIVE_FRACTIONS = ("slowEnd", "missAllowed")
+# What operators can pin: limits, whose shares then are not borrowed, and caches, which then are not ejected
+# on the evidence of other proxies.
 PINNED = {"limits", "caches"}
 # Restrictions of a method, and the setting that lists the names that each one may contain.
 METHOD_RESTRICTIONS = (("kindsOpen", "kinds"), ("failureDomainsOnly", "failureDomains"))
@@ -82,7 +85,7 @@
 
 
 def validate_settings(settings: dict[str, Any]) -> None:
-    """Checks the settings that a proxy uses, up to the first invalid one.
+    """Checks the settings that a proxy uses, and raises an error for the first invalid one.
 
     Raises:
         ConfigurationError: A setting is not valid; the text names the field, its value and what is expected.
@@ -184,7 +187,8 @@
         f"settings.caps.{name} is not carried on sockets: the router treats it as not allowed"
         for name in disallowed
     ]
-    # On sockets, a response is buffered only for its own client, after it has left the endpoint.
+    # On sockets, a response is buffered only for its own client, after it has left the endpoint. Clients send
+    # a duration, so a difference between their clocks and the proxy's does not matter.
     without_effect = {
         "responseRoom": (capabilities, "a response is buffered only for its own client"),
         "leftOffNs": (rules, "clients send how long they wait, not the time until which they wait"),
--- a/calicofall/proxy/clients.py
+++ b/calicofall/proxy/clients.py
@@ -14,7 +14,7 @@
 FIRST_BYTE_TIMEOUT_S = 2.3
 COMMAND_TIMEOUT_S = 2.5  # for a complete command, or for more input of a long one
 LONG_COMMAND_FACTOR = 4  # multiple of the command timeout within which a long command must be complete
-MIN_STALL_TIMEOUT_S = 2.5  # in which a client has to accept some of the output
+MIN_STALL_TIMEOUT_S = 2.5  # lower bound of the time in which a client has to accept some of the output
 EXCESS_IDLE_TIMEOUT_S = 0.1  # between two requests, while too many connections are idle
 IDLE_BUDGET_DIVISOR = 8  # too many are idle when they exceed the budget divided by this number
 SHUTDOWN_TIMEOUT_S = 0.1  # for the first byte and for a command, during a shutdown
@@ -28,7 +28,7 @@
         loop: The event loop.
         max_connections: Maximum number of connections to clients and endpoints together.
         read_ahead_bytes: Memory of commands and replies at which clients' commands are no longer read ahead.
-        stall_timeout_s: Time in which a client has to accept some of the output.
+        stall_timeout_s: Time in which a client has to accept some output; MIN_STALL_TIMEOUT_S at least.
         on_request: Called with the reply that is due and the parts of a request's command.
         on_client_disconnected: Called with each reply that was still due to a client that disconnected.
     """
@@ -48,7 +48,7 @@
         self.stall_timeout_s = max(stall_timeout_s, MIN_STALL_TIMEOUT_S)
         self.on_request = on_request
         self.on_client_disconnected = on_client_disconnected
-        self.count_other_connections: Callable[[], int] = lambda: 0  # sharing the budget
+        self.count_other_connections: Callable[[], int] = lambda: 0  # to endpoints, within the same budget
         self.connections: set[ClientConnection] = set()
         # Each of these tables: the time of entry into the state (s, the loop's clock).
         self.without_first_byte: OrderedDict[ClientConnection, float] = OrderedDict()
@@ -56,6 +56,7 @@
         self.partial_commands: OrderedDict[ClientConnection, float] = OrderedDict()
         self.closing: dict[ClientConnection, None] = {}  # waiting for the client to close, too
         self.waiting_for_memory: set[ClientConnection] = set()  # subset of `partial_commands`
+        # Set during a graceful shutdown: connections close after their next reply, and PING gets an error.
         self.close_after_reply = False
         self.rejects_ping = False
         self.first_byte_timeout_s = FIRST_BYTE_TIMEOUT_S
@@ -71,7 +72,7 @@
         return client
 
     def ensure_capacity(self) -> bool:
-        """Whether one more connection fits in the budget; closes the least useful one for it if necessary."""
+        """Returns whether one more connection fits in the budget; closes the least useful one if needed."""
         if self._has_capacity():
             return True
         least_useful = self._least_useful()
@@ -112,7 +113,7 @@
             )
             if oldest is None:
                 return
-            self.reject_partial_command(oldest, "too much has come in halves")
+            self.reject_partial_command(oldest, "incomplete commands take too much memory")
         self._resume_waiting()
 
     def reject_partial_command(self, client: ClientConnection, reason: str) -> None:
@@ -127,13 +128,14 @@
         silent_before = now - self.first_byte_timeout_s
         for client in [client for client, since in self.without_first_byte.items() if since < silent_before]:
             client.close()
+        # A transport whose reading is paused does not report that the client has closed.
         for client in [client for client in self.connections if client.reading_paused]:
             client.detect_disconnect()
         self.close_excess_idle()
         overdue_before = now - self.command_timeout_s
         for client in [client for client, since in self.partial_commands.items() if since < overdue_before]:
             if not self._may_go_on(client, now, overdue_before):
-                self.reject_partial_command(client, "a command that does not end")
+                self.reject_partial_command(client, "the command is not complete in time")
 
     def close_excess_idle(self) -> None:
         """Closes idle connections while they use so much of the budget that active clients would lack it."""
@@ -145,18 +147,18 @@
             client.close()
 
     def on_closing(self, client: ClientConnection) -> None:
-        """The connection is closing: no reply is due any more, and only the client's close is awaited."""
+        """Records that a connection is closing: no reply is due, and only the client's close is awaited."""
         self.without_first_byte.pop(client, None)
         self.idle.pop(client, None)
         self.update_partial_command(client, False)
         self.closing[client] = None
 
     def mark_busy(self, client: ClientConnection) -> None:
-        """A reply to the client is due."""
+        """Removes a client from the idle ones, since a reply to it is due."""
         self.idle.pop(client, None)
 
     def mark_idle(self, client: ClientConnection) -> None:
-        """No reply to the client is due."""
+        """Adds a client to the idle ones, since no reply to it is due."""
         self.idle.pop(client, None)
         self.idle[client] = self.loop.time()
         self.close_excess_idle()
@@ -226,7 +228,7 @@
             self.loop.call_soon(client.on_data)
 
     def _may_go_on(self, client: ClientConnection, now: float, overdue_before: float) -> bool:
-        """Whether an overdue command is not rejected yet: a long one that grows or that waits for memory."""
+        """Returns whether an overdue command may go on: a long one that grows or that waits for memory."""
         makes_progress = client.parser.is_reading_long_value and client.partial_progress_at >= overdue_before
         if not (client in self.waiting_for_memory or makes_progress):
             return False
--- a/calicofall/proxy/quota_enforcement.py
+++ b/calicofall/proxy/quota_enforcement.py
@@ -1,7 +1,7 @@
 """Enforces this proxy's shares of limits that apply to the fleet as a whole.
 
-Measures the demand for each limit, drives the quota leases by which proxies lend each other their shares, and
-applies the shares held to the router, to the connections and to the leased rate slots.
+Measures the demand for each limit, runs the rounds of the quota leases by which proxies lend each other parts
+of their shares, and applies the shares held to the router, to the connections and to the leased rate slots.
 
 Invariants: `fleet.quota_leases` decides which proxy has which share; no request is admitted by a share that
 has expired.
@@ -25,10 +25,10 @@
 from calicofall.routing.sliding_window import SlidingWindow
 from calicofall.startup.peer_messages import name_digest
 
-MAX_CLOCK_DRIFT = 0.01  # largest relative difference between two proxies' clocks in measuring a duration
+MAX_CLOCK_DRIFT = 0.01  # largest relative difference between the rates of two proxies' clocks
 DEMAND_WINDOW_S = 2.0  # length of the sliding window in which requests are counted as demand
 DEMAND_BUCKETS = 8  # buckets of that window
-MIN_WAKE_INTERVAL_S = 0.01  # shortest time between two rounds
+MIN_WAKE_INTERVAL_S = 0.01  # shortest time between two calls of `wake`
 DEFAULT_COLD_SHARE = 0.1  # fraction of a warm endpoint's request rate that a cold one can serve
 MS_PER_S = 1000.0
 # Names of the limits; datagrams hold digests of them. The limit on a tenant's rate is `rate/TENANT`.
@@ -55,10 +55,10 @@
         endpoint_count: Returns the number of endpoints.
         send: Sends a message to a proxy.
         live_members: Returns the numbers of the proxies that are alive.
-        apply_shares: Called with this proxy's shares of each tenant's rate and of the rate of a cold endpoint
+        apply_shares: Called with this proxy's shares of each tenant's rate and of `warm_rate_per_s`
             (requests a second).
-        rate_slots: By name, the leased slots, and a function that returns how many of a round would be used
-            at a given time.
+        rate_slots: By limit, the leased slots, and a function that returns how many slots of a round of slots
+            would be used without the limit, at a given time.
         in_flight_quota: Limits requests in flight at one endpoint.
         in_flight_limit: That limit, summed over the fleet.
         longest_request_s: The longest time that a request may be in flight.
@@ -100,7 +100,7 @@
         self.in_flight_limit = in_flight_limit
         self.longest_request_s = longest_request_s
         self.leases: dict[int, QuotaLeases] = {}  # by the digest of the limit's name
-        self.names_by_digest: dict[int, str] = {}  # by their digest
+        self.names_by_digest: dict[int, str] = {}
         self.tenant_rates_per_s: dict[str, float] = {}  # by tenant, over the fleet
         # Requests by tenant; under None, those of all tenants without a rate.
         self.request_windows: dict[str | None, SlidingWindow] = {}
@@ -162,6 +162,7 @@
         """Returns the requests a second, by tenant, over the time that the buckets cover."""
         # Measured over a window, not since the previous call: each limit has rounds of its own, so with two
         # limits the time between calls would be shorter and the measured demand too low.
+        # The window covers the part of the current bucket that has passed and the buckets before it.
         bucket_s = DEMAND_WINDOW_S / DEMAND_BUCKETS
         span_s = max(bucket_s, min(now - self.began_at, DEMAND_WINDOW_S - bucket_s + now % bucket_s))
         return {
@@ -186,9 +187,9 @@
         self.valid_until = min(
             (leases.next_change_at(now) for leases in self.leases.values()), default=float("inf")
         )
-        cold_rate_per_s = self.warm_rate_per_s
-        if cold_rate_per_s:
-            cold_rate_per_s *= shares[WARM_UP_LIMIT]
+        warm_rate_share_per_s = self.warm_rate_per_s
+        if warm_rate_share_per_s:
+            warm_rate_share_per_s *= shares[WARM_UP_LIMIT]
         if self.in_flight_quota is not None:
             leases = self.leases[name_digest(IN_FLIGHT_LIMIT)]
             # Only units that are held for as long as a request may take are counted. Without this, requests
@@ -199,7 +200,7 @@
             tenant: rate_per_s * shares[f"{RATE_LIMIT_PREFIX}{tenant}"]
             for tenant, rate_per_s in self.tenant_rates_per_s.items()
         }
-        self.apply_shares(tenant_shares_per_s, cold_rate_per_s)
+        self.apply_shares(tenant_shares_per_s, warm_rate_share_per_s)
 
     def wake(self) -> None:
         """Reports the demand to the leases, sends their messages, and schedules the next round."""
@@ -217,7 +218,7 @@
         self.timer = self.loop.call_at(max(next_at, now + MIN_WAKE_INTERVAL_S), self.wake)
 
     def wanted_units(self, now: float, name: str, demand: dict[str | None, float]) -> int:
-        """Returns the units of a limit that this proxy would use if there were no limit."""
+        """Returns the units of a limit (of rate slots: the slots) that this proxy would use without it."""
         if name in self.rate_slots:
             wanted_slots = self.rate_slots[name][1]
             return ceil(wanted_slots(now))
@@ -232,13 +233,14 @@
         quota = self.in_flight_quota
         if quota is None:
             return 0  # there is no such limit
+        # The demand is a mean over time, which may be less than what is in flight now.
         return int(UNITS * max(quota.demand(now), quota.max_in_flight()) / self.in_flight_limit)
 
     def _wanted_warm_up_units(self, demand: dict[str | None, float]) -> int:
         if not self.warm_rate_per_s:
             return 0  # there is no such limit
-        # A cold endpoint would be sent its part of this proxy's requests, and can serve a fraction
-        # (`cold_share`) of a warm endpoint's rate.
+        # A cold endpoint would be sent an equal part of this proxy's requests, as each endpoint is, and can
+        # serve only a fraction (`cold_share`) of a warm endpoint's rate.
         cold_share = self.rules.get("cold_share") or DEFAULT_COLD_SHARE
         capacity_per_s = self.warm_rate_per_s * cold_share * max(1, self.endpoint_count())
         return int(UNITS * sum(demand.values()) / capacity_per_s)
@@ -249,7 +251,8 @@
         if leases is None:
             return
         if self.names_by_digest[message.limit_id] == IN_FLIGHT_LIMIT:
-            # Without this, units that requests in flight already use would be lent to peers.
+            # Without this, units that requests in flight use since the last call of `wake` would be lent to
+            # peers.
             wanted = self.wanted_units(self.loop.time(), IN_FLIGHT_LIMIT, {})
             leases.set_demand(max(leases.demand_units, wanted))
         answer = leases.on_message(self.loop.time(), message)
--- a/calicofall/proxy/server.py
+++ b/calicofall/proxy/server.py
@@ -1,9 +1,11 @@
 """The proxy: joins clients, the router, upstream connections and discovery on one event loop.
 
-It owns the clock, takes each request from the client's command to the final answer, and shuts down on
-SIGTERM. The router decides which endpoint a request is sent to and how it ends.
+It passes the time to the router, takes each request from the client's command to the final answer, and shuts
+down on SIGTERM. The router decides which endpoint a request is sent to and how it ends.
 
-Invariants: an accepted request gets exactly one final answer; nothing is sent for a finished request.
+Invariants: an accepted request gets exactly one final answer, unless its client disconnects; if a value
+cannot be completed after a part of it was sent, the client's connection is closed instead. Nothing is sent
+for a finished request.
 """
 
 import asyncio
@@ -66,8 +68,8 @@
 from calicofall.startup.phases import StartupPhases
 from calicofall.startup.time_slots import TimeSlots
 
-# The largest fleet in which proxies open connections before they are needed. In larger fleets these
-# connections would crowd the endpoints.
+# The largest number of proxies in a fleet at which they open connections before they are needed. In larger
+# fleets, the connections that all proxies keep open in advance would crowd each endpoint.
 MAX_PROXIES_PRECONNECTING = 7
 # File descriptors kept free of client and endpoint connections, for the process's other sockets and files:
 # listeners, operators' connections, watches, gossip, the event loop, log, record and snapshot.
@@ -76,20 +78,24 @@
 TICK_DELAY_S = 0.003  # delay of a tick, so that events close together share one
 UPKEEP_INTERVAL_S = 0.25
 FULL_COLLECTION_ROUNDS = 20  # upkeep rounds between two garbage collections of all generations
-ACCEPT_AFTER_SIGTERM_S = 0.5  # time after SIGTERM in which new connections are still accepted
+# Time after SIGTERM in which new connections are still accepted: the load balancer in front may still choose
+# this proxy.
+ACCEPT_AFTER_SIGTERM_S = 0.5
 BLOCKED_SIGNALS = {signal.SIGHUP, signal.SIGTERM}  # blocked until their handlers are installed
 OK_PREFIX = "+OK"  # first characters of an operator call's successful reply
 ERROR_PREFIX = "-ERR"  # first characters of an operator call's error reply
-# The longest time that a starting proxy with a cached list waits for the discovery service, which answers
-# sooner if it is up.
+# The longest time that a starting proxy with a cached list waits for an answer or a refusal of the discovery
+# service. If the service is up, it answers within this time.
 LIST_WAIT_S = 2.0
-EXPIRE_DELAY_S = 0.45  # time after the longest deadline at which requests in flight are expired at shutdown
+# At shutdown, requests in flight are expired this long after the time that they have to finish, which counts
+# from SIGTERM (`GracefulShutdown.in_flight_timeout_s`).
+EXPIRE_DELAY_S = 0.45
 STOP_DELAY_S = 0.2  # time from expiring the requests to the end of the process
 log = logging.getLogger("calicofall")
 
 
 class ActiveRequest:
-    """A request in flight, and the pending reply to its client."""
+    """A request in flight, the pending reply to its client, and its command's name and arguments."""
 
     __slots__ = ("request", "reply", "parts", "command", "streaming_began_at")
 
@@ -118,7 +124,8 @@
         self, node: dict, loop: asyncio.AbstractEventLoop, connect: Callable = open_connection
     ) -> None:
         self.node, self.loop = node, loop
-        # From the loop's clock to the wall clock, so that endpoint lists and timers share one clock.
+        # The difference of the wall clock and the loop's clock. With it, the times in endpoint lists and
+        # those of timers are on one clock (`now_ms`).
         self.wall_clock_offset_ms = time.time() * 1000.0 - loop.time() * 1000.0
         document = configuration_sync.initial_document(node)
         own_settings = {name: value for name, value in node["settings"].items() if name in PER_PROXY_SETTINGS}
@@ -136,7 +143,8 @@
         self.phases = StartupPhases(loop.time())
         self.process_lock: ProcessLock | None = None
         proxy_number, proxy_count = deployment.get("me") or 0, deployment.get("proxies") or 1
-        # Separate from the router's random generator, which is used for routing decisions alone.
+        # Separate from the router's random generator: a replay repeats the router's draws from the recorded
+        # seed, so only routing decisions may use that one.
         random_generator, list_watches_per_s = (
             Random(seed + 1),
             self.startup_settings.get("list_watches_per_s"),
@@ -166,6 +174,8 @@
             deployment["rules"].get("fall_multiple"),
             make_rate_slots(HANDSHAKE_SLOTS) if "quota_lease_s" in self.startup_settings else None,
         )
+        # `bears`, a setting that the proxy adds: its share of the requests per ms that a warm endpoint of
+        # weight 1 serves.
         self.recorder: Any = None
         record_settings = segment_writer.parse_record_settings(node)
         if record_settings:
@@ -256,6 +266,7 @@
         schedule = DiscoverySchedule(
             random_generator,
             proxy_count,
+            # The longest backoff (s): half the interval (ms) at which the settings have lists polled.
             (deployment["rules"].get("ask_every") or 10_000.0) / 2000.0,
             time_slots,
         )
@@ -329,6 +340,7 @@
                 self.gossip.send,
                 self.gossip.membership.alive_members,
                 self.now_ms,
+                # A key is hot by its requests relative to an endpoint's capacity, which has to be known.
                 endpoint_capacity_per_s
                 and HotKeyDetector(
                     proxy_number,
@@ -349,6 +361,7 @@
         self.logged_ejections: list[str] = []  # ejected endpoints, as last logged
         self.tick_timer: asyncio.Handle | None = None
         self.tick_due_at = float("inf")
+        # From 1 to 60 000 ms, with two significant digits.
         self.latency_histograms = {name: HdrHistogram(1, 60_000, 2) for name in self.methods}
         self.listener: Listener | None = None
         self.stopped = loop.create_future()
@@ -381,8 +394,9 @@
             and replies (bytes) from which on no command is read ahead.
         """
         max_connections = max(8, descriptor_limit(self.node) // process_count - RESERVED_DESCRIPTORS)
-        # A quarter of the memory (a shift by 18 bits): a command in flight, its copy on the way to an
-        # endpoint and its answer each take about as much again.
+        # Commands and replies are counted up to a quarter of the memory (megabytes << 18 are a quarter in
+        # bytes), since a command in flight, its copy on the way to an endpoint and its answer each take about
+        # as much again.
         return (
             max_connections,
             int(max_connections * 0.4),
@@ -453,7 +467,7 @@
             self.gossip.list_freshness.set_own_list(self.loop.time(), index, self.upstreams.endpoint_states())
 
     def on_discovery_failure(self) -> None:
-        """Tells the router that a watch has ended, if the settings say that discovery is polled."""
+        """Reports to the router that no list arrived, if the settings say that discovery is polled."""
         if self.polls_discovery:
             self.router.on_endpoint_list(self.now_ms(), "failed", None, [])
             self.schedule_tick()
@@ -487,6 +501,8 @@
             endpoint_rate_per_s: This proxy's share of the requests a second that a warm endpoint can serve;
                 None or 0 if no such rate is configured.
         """
+        # The router lets an endpoint that warms up have `overload_multiple` times its rate, and counts per
+        # ms.
         rate_divisor = self.router.overload_multiple() * 1000.0
         self.router.set_quota_shares(
             {name: quota_per_s / 1000.0 for name, quota_per_s in quotas_per_s.items()},
@@ -511,7 +527,7 @@
         try:
             fields = parse_request_fields(parts, self.methods, self.tenants)
             if parts[2] in self.active_client_ids:  # an endpoint would take it for the request in flight
-                raise ValueError("the id of an RPC in hand")
+                raise ValueError("the id of a request in flight")
         except ValueError as error:
             reply.client.reject_command(reply, str(error))
             return
@@ -561,7 +577,7 @@
 
     @staticmethod
     def call_router(active_request: ActiveRequest, router_call: Callable, *arguments: Any) -> str | None:
-        """Calls the router; an exception in it fails the request.
+        """Calls the router; if it raises an exception, the request ends with the answer `errored`.
 
         Args:
             active_request: The request that the call is about.
@@ -583,9 +599,11 @@
     def execute_decision(self, now: float, active_request: ActiveRequest, endpoint: str | None) -> None:
         """Sends a request to the endpoint that was decided on, or answers the client if the request is over.
 
-        Without an endpoint and an answer, the request waits for its next decision.
+        If there is neither an endpoint nor an answer, the request waits for its next decision.
         """
         request = active_request.request
+        # An attempt that is not made, because the endpoint is slow for large answers, is reported as
+        # withheld. The router then chooses again.
         if endpoint is not None and self.outliers is not None and self.outliers.avoids(request):
             endpoint = self.call_router(
                 active_request,
@@ -669,14 +687,20 @@
     def find_sink(
         self, command: UpstreamCommand, size: int, request_next_chunk: Callable[[], None]
     ) -> PendingReply | None:
-        """Returns the reply to which a long answer is streamed; None if the client has disconnected."""
+        """Returns the reply to which a long answer is streamed; None if the client has disconnected.
+
+        Args:
+            command: The command that is answered.
+            size: The size of the value (bytes).
+            request_next_chunk: Requests the next part of the value from the endpoint's connection.
+        """
         reply = command.active_request.reply
         if reply is not None:
             reply.start_streaming(size, request_next_chunk)
         return reply
 
     def on_streaming(self, command: UpstreamCommand) -> None:
-        """Binds a request to an attempt, since a part of its answer is about to be sent to the client."""
+        """Reports that a part of an answer is about to be sent: the request gets no other attempt."""
         active_request = command.active_request
         active_request.streaming_began_at = self.now_ms()
         self.call_router(
@@ -712,6 +736,7 @@
             reply.request_next_chunk = None
         latency_ms = reported_latency_ms = (active_request.streaming_began_at or now) - command.sent_at_ms
         endpoint = request.attempts[command.attempt_index].endpoint
+        # The router gets the latency with the allowance for large answers, the evidence the measured one.
         if self.outliers is not None:
             reported_latency_ms = self.outliers.fair_latency(endpoint, request.name, latency_ms, len(answer))
         next_endpoint = self.call_router(
@@ -775,7 +800,7 @@
             self.tick_timer, self.tick_due_at = self.loop.call_at(tick_at, self.tick), tick_at
 
     def tick(self) -> None:
-        """Routes requests whose wait is over, and carries out the router's log lines and other actions."""
+        """Routes requests whose wait is over, writes the router's log lines, and executes its actions."""
         self.tick_timer, now = None, self.now_ms()
         while (request := self.router.next_due_request(now)) is not None:
             active_request = self.active_requests.get(request.id)
@@ -889,7 +914,8 @@
         self.discovery.start()
         self.upkeep()
         self.schedule_tick()
-        # Few long-lived objects change from here on: frozen, they keep collections short and timers on time.
+        # Most objects created so far live as long as the process. Frozen, they are not examined by garbage
+        # collections, which stay short, so that timers are on time.
         gc.collect()
         gc.freeze()
         gc.set_threshold(20_000, 50, 1000)
@@ -1056,7 +1082,7 @@
         self.end_when_idle()
 
     def expire_requests(self) -> None:
-        """Expires all requests in flight, so that they are answered before the process is killed."""
+        """Expires all requests in flight, since the process is killed soon after its SIGTERM."""
         for active_request in list(self.active_requests.values()):
             active_request.request.expires_at = min(active_request.request.expires_at, self.now_ms())
             if active_request.command is not None and not active_request.request.streaming:
--- a/calicofall/recording/replayer.py
+++ b/calicofall/recording/replayer.py
@@ -31,17 +31,17 @@
 
     def __init__(self) -> None:
         self._times: deque[float] = deque()
-        self.demand = self  # replaces the counter of unmet demand: `add` is ignored in a replay
+        self.demand = self  # the router counts unmet demand with `demand.add`, which a replay ignores
 
     def set_times(self, times: Iterable[float]) -> None:
         """Sets the times that the next calls return (s)."""
         self._times = deque(times)
 
     def due_at(self, _now: float) -> float:
-        """Returns the next recorded time (s); 0 if the router makes more calls than were recorded."""
+        """Returns the next recorded time (s); 0, so no wait, if the router makes more calls."""
         return self._times.popleft() if self._times else 0.0
 
-    take = due_at
+    take = due_at  # a slot that is taken is recorded by its time, too
 
     def return_slot(self, _now: float, _slot: float) -> None:
         """Ignores a slot that was returned unused."""
@@ -109,6 +109,9 @@
         self.decision_count = 0
         self.differences: Counter[str] = Counter()
         self.router = Router(settings or head["deployment"], int(head["seed"]), head["now"])
+        # In the head, `wall` is the offset from the clock of the slots to the router's (ms), `turns` whether
+        # there are rate slots at the origin, and `veiled` whether keys are pseudonyms, which rank endpoints
+        # differently from the keys, so that the record contains the rankings.
         self.router.slot_clock_offset_ms = head.get("wall", 0.0)
         if head.get("state") is not None:
             restore_state(self.router, head["state"])
@@ -219,6 +222,7 @@
         request = self.requests[event.request_id]
         request.expires_at = event.expires_at_ms
         self._use_slot_times(event.slot_times)
+        # After a decision that differed, the request may wait here longer than in the record.
         if not self.strict:
             router_access.forget_waits(self.router, request)
         endpoint = self.router.route(event.at_ms, request)
@@ -255,6 +259,7 @@
 
     def _replay_tick(self, event: events.Ticked) -> None:
         now = event.at_ms
+        # If no request whose wait had ended was left before this tick in the record, none may be left here.
         while event.waits_drained and (request := self.router.next_due_request(now)) is not None:
             self._compare(None, request.id)
         wait_ms = self.router.tick(now)
@@ -285,6 +290,7 @@
     def _compare_decision(
         self, now: float, request: Request, recorded: RecordedDecision, endpoint: str | None
     ) -> None:
+        """Compares a decision; a replay that is not strict counts a difference and follows the record."""
         self.decision_count += 1
         replayed = RecordedDecision(endpoint, request.answer, request.retry_after_ms, request.timeout_ms)
         if replayed != recorded:
@@ -297,7 +303,7 @@
             self._drop_if_done(request)
 
     def _compare(self, recorded: Any, replayed: Any) -> None:
-        """Raises ReplayMismatchError in a strict replay if the record and the router differ."""
+        """Raises ReplayMismatchError if record and router differ; no effect if not strict."""
         if self.strict and recorded != replayed:
             router_summary = self.router_summary(self._stored)
             raise ReplayMismatchError(
@@ -329,6 +335,8 @@
 
     def _request_of(self, stored: list[Any] | None) -> Request | None:
         """Returns the request that a stored event refers to, if it is known."""
+        # A stored event is its kind, its time and its other fields; the first of these is a request's id, if
+        # the event is about one.
         if not stored or len(stored) <= 2 or not isinstance(stored[2], str):
             return None
         return self.requests.get(stored[2])
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -145,7 +145,7 @@
 def test_connection_with_an_overdue_answer_gets_no_new_command() -> None:
     """Open connections to an unresponsive machine used to be given request after request.
 
-    When a new connection fails instead, its command is certain not to have run.
+    If a command gets a new connection instead, and that fails, the command is certain not to have run.
     """
     harness = ProxyHarness(caches=1).with_high_limits()
     harness.proxy.upstreams.max_connections_per_endpoint = 2
@@ -166,7 +166,7 @@
 
 
 def test_cancelled_command_is_sent_to_another_cache_and_is_in_flight_only_once() -> None:
-    """On a shared connection, the first copy was in flight while the second was sent to another cache."""
+    """On a shared connection, a command stayed in flight while it was sent to another cache as well."""
     for shared in (False, True):
         harness = ProxyHarness(caches=2).with_high_limits()
         harness.proxy.upstreams.max_connections_per_endpoint, policy = 1, harness.proxy.router.policy
@@ -195,7 +195,7 @@
         all(upstream.sent for upstream in upstreams)
         and len(harness.loop.connect_requests) == 2 * MIN_IDLE_CONNECTIONS
     )
-    harness.loop.advance(0.2)
+    harness.loop.advance(0.2)  # the command with 100 ms left times out and closes its connection
     assert (
         sum(upstream.open for upstream in upstreams) == MIN_IDLE_CONNECTIONS - 1
         and harness.proxy.upstreams.connection_count() == 2 * MIN_IDLE_CONNECTIONS - 1
@@ -300,7 +300,7 @@
     client = harness.client()
     client.feed(encode_request())
     upstream = harness.connect_upstream()
-    for _ in range(3):
+    for _ in range(3):  # a length whose line does not end: first 500, then one more digit at a time
         upstream.feed(b"*3\r\n$500\r\nx"[:8] if upstream.stream.parser.array is None else b"1")
         harness.loop.advance(0.05)
     assert upstream.open  # more of the reply keeps arriving
@@ -451,7 +451,7 @@
 
 
 def test_idle_connections_are_closed_while_too_many_are_idle() -> None:
-    """Clients share a third of the descriptors: 128 idle connections left none for active clients."""
+    """When clients shared a third of the descriptors, 128 idle connections left none for active clients."""
     harness = ProxyHarness(sockets=384)
     harness.proxy.upkeep()
     busy, oldest_idle = harness.client(), harness.client()
@@ -462,7 +462,7 @@
         client.feed(resp.encode_command([b"PING"]))
     assert all(client.open for client in idle_clients)
     harness.loop.advance(0.5)
-    max_idle = 352 // IDLE_BUDGET_DIVISOR
+    max_idle = 352 // IDLE_BUDGET_DIVISOR  # of 384 descriptors, 32 are reserved
     assert [client.open for client in idle_clients] == [False] * (120 - max_idle) + [
         True
     ] * max_idle and busy.open
@@ -509,7 +509,7 @@
 
 
 def test_incomplete_large_commands_stay_within_the_memory_limit() -> None:
-    """Hundreds of clients that stall in the middle of 64 KiB would have used more than 32 MB."""
+    """Hundreds of clients that stall in the middle of a command of 64 KiB would have used more than 32 MB."""
     harness, partial_command = ProxyHarness(), encode_request("save", value=bytes(60_000))[:40_000]
     harness.proxy.clients.read_ahead_bytes = 2 << 20
     clients = [harness.client() for _ in range(200)]
@@ -586,7 +586,7 @@
 
 
 def test_nothing_is_sent_for_a_request_after_its_deadline() -> None:
-    """Its bytes were queued behind a full socket and would have been sent after the final answer."""
+    """Bytes queued behind a full socket would have been sent after their request's final answer."""
     harness = ProxyHarness(caches=1)
     harness.proxy.upstreams.max_connections_per_endpoint = 1
     client, other = harness.client(), harness.client()
@@ -646,7 +646,7 @@
 
 
 def test_pipelined_commands_are_answered_after_sigterm() -> None:
-    """A connection closed after the reply that was due, with complete commands already read from it."""
+    """A connection was closed after its next reply, despite complete commands already read from it."""
     harness = ProxyHarness().with_high_limits()
     client = harness.client()
     client.feed(b"".join(encode_request(key=1) for _ in range(18)))  # two more than are read ahead
@@ -661,6 +661,7 @@
 
 
 def test_request_that_cannot_finish_before_the_kill_is_answered_after_sigterm() -> None:
+    """A process is killed soon after its SIGTERM, maybe before the deadline of a request in flight."""
     harness = ProxyHarness(methods=[SETTINGS["methods"][0] | {"hardDeadlineNs": 9_000_000_000}])
     client = harness.client()
     client.feed(encode_request(remaining_ms="9000"))
@@ -696,7 +697,7 @@
 
 
 def test_sighup_moves_the_watch_and_keeps_everything_else() -> None:
-    """SIGHUP used to end the proxy, and PROXY_DISCOVERY would have fixed the agent to that of the start."""
+    """SIGHUP used to end the proxy, and PROXY_DISCOVERY would have kept the discovery agent of the start."""
     harness = ProxyHarness()
     client = harness.client()
     client.feed(encode_request())
