--- a/calicofall/config/settings.py
+++ b/calicofall/config/settings.py
@@ -122,18 +122,18 @@
     valid = proxies is None or is_whole_number(proxies, 1, inf)
     require("settings.balancers", proxies, valid, "a whole number from 1")
     last = (proxies or 1) - 1
-    number = settings.get("me")
-    valid = number is None or is_whole_number(number, 0, last)
-    require("settings.me", number, valid, f"a whole number from 0 to {last}")
+    proxy_number = settings.get("me")
+    valid = proxy_number is None or is_whole_number(proxy_number, 0, last)
+    require("settings.me", proxy_number, valid, f"a whole number from 0 to {last}")
 
 
 def _validate_method_restrictions(settings: dict[str, Any]) -> None:
-    for number, method in enumerate(settings.get("methods") or []):
+    for method_index, method in enumerate(settings.get("methods") or []):
         for name, listed_in in METHOD_RESTRICTIONS:
             only = method.get(name)
             known = settings.get(listed_in) or []
             require(
-                f"settings.methods[{number}].{name}",
+                f"settings.methods[{method_index}].{name}",
                 only,
                 only is None or _is_part_of(only, known),
                 f"a list of names in settings.{listed_in}",
--- a/calicofall/fleet/configuration_agreement.py
+++ b/calicofall/fleet/configuration_agreement.py
@@ -207,22 +207,28 @@
     """
 
     def __init__(
-        self, own_id: int, incarnation: int, now: float, lease_s: float, drift: float, rng: Random
+        self,
+        proxy_number: int,
+        incarnation: int,
+        now: float,
+        lease_s: float,
+        drift: float,
+        random_generator: Random,
     ) -> None:
         """Starts an incarnation that knows no version.
 
         Args:
-            own_id: number of this proxy.
+            proxy_number: number of this proxy.
             incarnation: number of this run of the process, which differs from those of other runs.
             now: the time (s).
             lease_s: duration of a lease.
             drift: largest relative difference between the rates of two clocks.
-            rng: source of request identifiers, jitter and the choice of voters.
+            random_generator: source of request identifiers, jitter and the choice of voters.
         """
-        self.own_id = own_id
+        self.proxy_number = proxy_number
         self.incarnation = incarnation
         self.lease_s = lease_s
-        self.rng = rng
+        self.random_generator = random_generator
         self.grant_duration_s = grant_duration(lease_s, drift)
         self.grants_from = now + self.grant_duration_s
         self.highest_known = 0
@@ -231,7 +237,7 @@
         self.held_versions: dict[int, ConfigurationVersion] = {}
         self.held_since: dict[int, float] = {}  # by version held, since when (s)
         self.peers: dict[int, PeerAcknowledgement] = {}
-        self.request_id = rng.getrandbits(REQUEST_ID_BITS)
+        self.request_id = random_generator.getrandbits(REQUEST_ID_BITS)
         self.requested_at: dict[int, float] = {}  # by request identifier, when the request was sent (s)
         self.next_round_at = now
         self.batch_offset = 0
@@ -262,7 +268,7 @@
             last response that counted.
         """
         requested_at = self.requested_at.get(message.correlation_id)
-        if requested_at is None or message.sender == self.own_id:
+        if requested_at is None or message.sender == self.proxy_number:
             return False
         self._require_confirmation_after_gap(now)
         self._learn_version(message)
@@ -296,11 +302,11 @@
         interval = self.lease_s / ROUNDS_PER_LEASE
         if pending:
             interval = min(interval, rounds.interval_s)
-        self.next_round_at = now + interval * self.rng.uniform(ROUND_JITTER, 1.0)
+        self.next_round_at = now + interval * self.random_generator.uniform(ROUND_JITTER, 1.0)
         self._begin_request(now)
-        receivers = _union(document.voters for document in self.held_versions.values()) - {self.own_id}
+        receivers = _union(document.voters for document in self.held_versions.values()) - {self.proxy_number}
         if pending:
-            receivers |= self._next_batch(members - {self.own_id} - receivers, rounds.batch_size)
+            receivers |= self._next_batch(members - {self.proxy_number} - receivers, rounds.batch_size)
         elif self.confirmed and self.leased_until(now) > now + self.lease_s / 2.0:
             receivers = self._sufficient_voters()
         message = self._message(True, self.request_id, now)
@@ -353,7 +359,7 @@
         confirmed = self.confirmed and now < self.leased_until(now)
         return AgreementMessage(
             is_request,
-            self.own_id,
+            self.proxy_number,
             self.incarnation,
             request_id,
             self.highest_known,
@@ -398,8 +404,9 @@
 
         sufficient: set[int] = set()
         for document in self.held_versions.values():
-            voters = sorted(document.voters - {self.own_id})
-            self.rng.shuffle(voters)  # without this, all members would send requests to the same voters
+            voters = sorted(document.voters - {self.proxy_number})
+            # Without this, all members would send requests to the same voters.
+            self.random_generator.shuffle(voters)
             voters.sort(key=requested_at, reverse=True)
             sufficient.update(voters[: majority(document.voters) + SPARE_VOTERS])
         return frozenset(sufficient)
@@ -411,12 +418,12 @@
         granted_at = [
             peer.requested_at
             for voter in document.voters
-            if voter != self.own_id
+            if voter != self.proxy_number
             and (peer := self.peers.get(voter))
             and peer.grants_leases
             and peer.highest_known <= highest_held
         ]
-        if self.own_id in document.voters and self.grants_leases(now):
+        if self.proxy_number in document.voters and self.grants_leases(now):
             granted_at.append(now)
         quorum = majority(document.voters)
         if len(granted_at) < quorum:
@@ -463,7 +470,7 @@
         """Checks E1: a quorum of voters reports that the version is in effect there."""
 
         def in_effect(voter: int) -> bool:
-            peer = None if voter == self.own_id else self._current_acknowledgement(now, voter, version)
+            peer = None if voter == self.proxy_number else self._current_acknowledgement(now, voter, version)
             return peer is not None and peer.in_effect >= version
 
         return self._is_quorum(in_effect)
@@ -484,7 +491,7 @@
             ]
             for document in self.held_versions.values()
         )
-        others = _union(document.members for document in self.held_versions.values()) - {self.own_id}
+        others = _union(document.members for document in self.held_versions.values()) - {self.proxy_number}
         return all(
             (peer := self._current_acknowledgement(now, member, version)) is not None
             and peer.requested_at > held_by_quorum_at
@@ -500,7 +507,7 @@
 
     def _held_since(self, now: float, voter: int, version: int) -> float:
         """Returns when a voter first reported to hold the version (s); inf if it has no current report."""
-        if voter == self.own_id:
+        if voter == self.proxy_number:
             return self.held_since[version]
         peer = self._current_acknowledgement(now, voter, version)
         return inf if peer is None else peer.held_since(version)
--- a/calicofall/fleet/hot_keys.py
+++ b/calicofall/fleet/hot_keys.py
@@ -105,30 +105,31 @@
 class HotKeyDetector:
     """Counts, queries and findings of one proxy; points in time are in seconds.
 
-    `own_id` is this proxy's number; a warm endpoint can serve `endpoint_capacity_per_s` requests per second.
+    `proxy_number` is this proxy's number; a warm endpoint can serve `endpoint_capacity_per_s` requests per
+    second.
     """
 
     def __init__(  # noqa: PLR0913 -- proxy/server.py passes these by position
         self,
-        own_id: int,
+        proxy_number: int,
         incarnation: int,
         proxies: int,
         endpoint_capacity_per_s: float,
         now: float,
-        rng: Random,
+        random_generator: Random,
     ) -> None:
-        self.own_id = own_id
+        self.proxy_number = proxy_number
         self.incarnation = incarnation
         self.proxies = proxies
         self.endpoint_capacity_per_s = endpoint_capacity_per_s
-        self.rng = rng
+        self.random_generator = random_generator
         self.counts: list[dict[int, int]] = [{}, {}]  # requests by key, in the present window and before it
         self.windows_started_at = [now, now]
         self.last_queried_at: dict[int, float] = {}  # by key
         self.queries: dict[int, KeyQuery] = {}  # by identifier
         self.hot_keys: dict[int, HotKey] = {}
         self.new_findings: list[int] = []  # keys found hot since the last call of `take_new_findings`
-        self.last_query_id = rng.getrandbits(40)
+        self.last_query_id = random_generator.getrandbits(40)
         self.next_round_at = now
         self.query_messages_sent = 0
         self.findings_reported = 0  # keys taken by `take_new_findings`
@@ -162,7 +163,7 @@
         own_count = self._own_count(now, key)
         return KeyCountMessage(
             is_query,
-            self.own_id,
+            self.proxy_number,
             self.incarnation,
             correlation_id,
             key,
@@ -194,7 +195,7 @@
         self.hot_keys = {key: finding for key, finding in self.hot_keys.items() if finding.expires_at > now}
         messages: list[tuple[int, KeyCountMessage]] = []
         if now >= self.next_round_at:
-            self.next_round_at = now + ROUND_INTERVAL_S * self.rng.uniform(0.9, 1.0)
+            self.next_round_at = now + ROUND_INTERVAL_S * self.random_generator.uniform(0.9, 1.0)
             earliest = now - REQUERY_AFTER_S
             self.last_queried_at = {key: at for key, at in self.last_queried_at.items() if at > earliest}
             if len(reachable) >= MIN_ANSWERS:
@@ -203,7 +204,7 @@
         return messages, min([self.next_round_at, *(query.ends_at for query in self.queries.values())])
 
     def _query(self, now: float, key: int, reachable: list[int]) -> list[tuple[int, KeyCountMessage]]:
-        peers = self.rng.sample(reachable, min(PEERS_PER_QUERY, len(reachable)))
+        peers = self.random_generator.sample(reachable, min(PEERS_PER_QUERY, len(reachable)))
         self.last_query_id += 1
         self.last_queried_at[key] = now
         self.queries[self.last_query_id] = KeyQuery(key, now + ANSWER_TIMEOUT_S, peers)
--- a/calicofall/fleet/in_flight_quota.py
+++ b/calicofall/fleet/in_flight_quota.py
@@ -36,9 +36,9 @@
 class InFlightQuota:
     """Requests in flight by endpoint, of which `share` are allowed at each."""
 
-    def __init__(self, share: float, rng: Random) -> None:
+    def __init__(self, share: float, random_generator: Random) -> None:
         self.share = share
-        self.rng = rng
+        self.random_generator = random_generator
         self.endpoints: dict[str, EndpointUsage] = {}
 
     def retain_endpoints(self, names: set[str]) -> None:
@@ -52,7 +52,7 @@
         usage = self.endpoints.get(name)
         if usage is None:
             # The initial credit is random: otherwise all proxies would send their first request at one time.
-            usage = EndpointUsage(now, self.share * MAX_CREDIT_S * self.rng.random())
+            usage = EndpointUsage(now, self.share * MAX_CREDIT_S * self.random_generator.random())
             self.endpoints[name] = usage
         elapsed_s = max(0.0, now - usage.updated_at)
         usage.credit_s = min(
--- a/calicofall/fleet/list_freshness.py
+++ b/calicofall/fleet/list_freshness.py
@@ -88,25 +88,25 @@
         differs_since: by peer, since when its digest has differed (s).
     """
 
-    def __init__(self, own_id: int, incarnation: int, proxies: int, rng: Random) -> None:
+    def __init__(self, proxy_number: int, incarnation: int, proxies: int, random_generator: Random) -> None:
         """Starts without a list.
 
         Args:
-            own_id: number of this proxy.
+            proxy_number: number of this proxy.
             incarnation: number of this run of its process.
             proxies: how many proxies the fleet has.
-            rng: source of request identifiers and of the choice of peers.
+            random_generator: source of request identifiers and of the choice of peers.
         """
-        self.own_id = own_id
+        self.proxy_number = proxy_number
         self.incarnation = incarnation
         self.proxies = proxies
-        self.rng = rng
+        self.random_generator = random_generator
         self.index = 0
         self.digest = 0
         self.changed_at = 0.0
         self.last_messages: dict[int, tuple[float, ListDigestMessage]] = {}
         self.differs_since: dict[int, float] = {}
-        self._request_id = rng.getrandbits(REQUEST_ID_BITS)
+        self._request_id = random_generator.getrandbits(REQUEST_ID_BITS)
         self._polled_at = -REPOLL_AFTER_S
         self._behind_since: float | None = None  # since when a later list is known (s)
         self._difference_reported = False
@@ -134,9 +134,9 @@
             The peers to send a request to, and the request.
         """
         self._request_id += 1
-        reachable = [peer for peer in range(self.proxies) if peer != self.own_id and peer not in away]
+        reachable = [peer for peer in range(self.proxies) if peer != self.proxy_number and peer not in away]
         self._forget_silent_peers(now)
-        receivers = self.rng.sample(reachable, min(PEERS_PER_ROUND, len(reachable)))
+        receivers = self.random_generator.sample(reachable, min(PEERS_PER_ROUND, len(reachable)))
         return receivers, self.make_message(now, True, self._request_id)
 
     def make_message(self, now: float, is_request: bool, request_id: int) -> ListDigestMessage:
@@ -149,13 +149,13 @@
         """
         age_ms = min(MAX_AGE_MS, max(0, round((now - self.changed_at) * 1000.0)))
         return ListDigestMessage(
-            is_request, self.own_id, self.incarnation, request_id, self.index, self.digest, age_ms
+            is_request, self.proxy_number, self.incarnation, request_id, self.index, self.digest, age_ms
         )
 
     def on_message(self, now: float, message: ListDigestMessage) -> None:
         """Handles a peer's request or response; a request is answered by `make_message`."""
         peer = message.sender
-        if peer == self.own_id:
+        if peer == self.proxy_number:
             return
         self.last_messages[peer] = now, message
         if message.digest == self.digest:
--- a/calicofall/fleet/membership.py
+++ b/calicofall/fleet/membership.py
@@ -193,18 +193,23 @@
 class Membership:
     """The members of the fleet as one proxy sees them.
 
-    `own_id` is this proxy's number. Points in time are in seconds of this proxy's own clock.
+    `proxy_number` is this proxy's number. Points in time are in seconds of this proxy's own clock.
     """
 
     def __init__(
-        self, own_id: int, incarnation: int, members: frozenset[int], now: float, rng: Random
+        self,
+        proxy_number: int,
+        incarnation: int,
+        members: frozenset[int],
+        now: float,
+        random_generator: Random,
     ) -> None:
-        self.own_id = own_id
+        self.proxy_number = proxy_number
         self.incarnation = incarnation
-        self.rng = rng
+        self.random_generator = random_generator
         self.peers: dict[int, PeerState] = {}
         self.probe_order: list[int] = []
-        self.last_probe_id = rng.getrandbits(40)
+        self.last_probe_id = random_generator.getrandbits(40)
         self.outstanding_probes: dict[int, OutstandingProbe] = {}
         self.unanswered: dict[int, int] = {}  # probes of this round: the member, by the probe's identifier
         self.relayed_probes: dict[int, RelayedProbe] = {}  # by the identifier of this proxy's probe
@@ -222,7 +227,7 @@
 
     def set_members(self, members: frozenset[int]) -> None:
         """Sets the members; the state of those that stay is kept."""
-        others = members - {self.own_id}
+        others = members - {self.proxy_number}
         for member in self.peers.keys() - others:
             del self.peers[member]
             self.probe_queue.pop(member, None)
@@ -238,7 +243,7 @@
         peer = self.peers.get(member)
         if peer is not None:
             return peer.state
-        return MemberState.ALIVE if member == self.own_id else MemberState.NOT_A_MEMBER
+        return MemberState.ALIVE if member == self.proxy_number else MemberState.NOT_A_MEMBER
 
     def away_members(self) -> frozenset[int]:
         """Returns the members that are away."""
@@ -324,7 +329,7 @@
         peer.away_since = None
         peer.failed_rounds = 0
         self.probe_queue.pop(member, None)
-        self.queued_suspicions.pop((member, incarnation, self.own_id), None)
+        self.queued_suspicions.pop((member, incarnation, self.proxy_number), None)
 
     def _on_suspicion(self, now: float, member: int, incarnation: int, suspected_by: int) -> None:
         """Handles a suspicion of a member by the member `suspected_by`."""
@@ -368,10 +373,10 @@
             self.queued_suspicions[suspicion] -= 1
             if not self.queued_suspicions[suspicion]:
                 del self.queued_suspicions[suspicion]
-        subject = self.own_id if kind in (ProbeKind.PROBE, ProbeKind.PROBE_ANSWER) else subject
+        subject = self.proxy_number if kind in (ProbeKind.PROBE, ProbeKind.PROBE_ANSWER) else subject
         numbers = tuple(number for suspicion in suspicions for number in suspicion)
         return MembershipProbe(
-            kind, self.own_id, self.incarnation, correlation_id, subject, subject_incarnation, numbers
+            kind, self.proxy_number, self.incarnation, correlation_id, subject, subject_incarnation, numbers
         )
 
     def _probe(self, now: float, member: int) -> tuple[int, MembershipProbe]:
@@ -384,7 +389,7 @@
         # Carries no suspicions: each is sent a limited number of times, and those sent to failed members
         # would not spread.
         return correlation_id, MembershipProbe(
-            ProbeKind.PROBE, self.own_id, self.incarnation, correlation_id, self.own_id, 0, ()
+            ProbeKind.PROBE, self.proxy_number, self.incarnation, correlation_id, self.proxy_number, 0, ()
         )
 
     # Rounds
@@ -408,7 +413,7 @@
         ]
         for correlation_id, member in self.unanswered.items():
             others = [other for other in reachable if other != member]
-            for prober in self.rng.sample(others, min(INDIRECT_PROBERS, len(others))):
+            for prober in self.random_generator.sample(others, min(INDIRECT_PROBERS, len(others))):
                 messages.append((prober, self._message(ProbeKind.INDIRECT_PROBE, correlation_id, member)))
         return messages
 
@@ -449,14 +454,14 @@
         if peer.suspected_since is None and peer.away_since is None:
             peer.suspect(now)
             if peer.incarnation and len(peer.suspecting_peers) < CONFIRMING_PEERS:
-                self._queue_suspicion(member, peer.incarnation, self.own_id)
+                self._queue_suspicion(member, peer.incarnation, self.proxy_number)
         peer.failed_rounds += 1
         if peer.away_since is None:
             self.probe_queue.setdefault(member)
 
     def _begin_round(self, now: float) -> list[tuple[int, MembershipProbe]]:
         """Probes the next member of the order and the longest waiting members of the queue."""
-        self.next_round_at = now + ROUND_INTERVAL_S * self.rng.uniform(0.9, 1.0)
+        self.next_round_at = now + ROUND_INTERVAL_S * self.random_generator.uniform(0.9, 1.0)
         self.unanswered.clear()
         self._drop_expired_probes(now)
         messages = []
@@ -480,7 +485,7 @@
     def _members_to_probe(self) -> list[int]:
         if not self.probe_order:
             self.probe_order = sorted(self.peers)
-            self.rng.shuffle(self.probe_order)
+            self.random_generator.shuffle(self.probe_order)
         members = [self.probe_order.pop()] if self.probe_order else []
         for member in list(self.probe_queue)[:SUSPECTS_PER_ROUND]:
             del self.probe_queue[member]
@@ -504,7 +509,7 @@
         """
         states = [peer.state for peer in self.peers.values()]
         lines = [
-            f"members.me:{self.own_id}",
+            f"members.me:{self.proxy_number}",
             f"members.life:{self.incarnation:012x}",
             *(f"members.{state}:{states.count(state)}" for state in COUNTED_STATES),
             f"members.rounds:{self.rounds_judged}",
--- a/calicofall/fleet/rate_slots.py
+++ b/calicofall/fleet/rate_slots.py
@@ -44,17 +44,19 @@
     def __init__(  # noqa: PLR0913 -- proxy/ and startup/ pass these by position
         self,
         limit_id: int,
-        own_id: int,
+        proxy_number: int,
         incarnation: int,
         proxies: int,
         now: float,
         lease_s: float,
         drift: float,
-        rng: Random,
+        random_generator: Random,
     ) -> None:
         self.proxies = max(1, proxies)
         self.total = SLOTS_PER_PROXY * self.proxies
-        super().__init__(limit_id, own_id, incarnation, self.proxies, now, lease_s, drift, rng)
+        super().__init__(
+            limit_id, proxy_number, incarnation, self.proxies, now, lease_s, drift, random_generator
+        )
         self.granted_slots: dict[LeaseKey, int] = {}  # by lease, which of this proxy's slots is lent
         self.borrowed_slots: dict[int, int] = {}  # by lease identifier, which of its owner's slots it is of
         self.last_usable_slots: set[SlotId] = set()  # the result of the last call of `usable_slots`
@@ -160,9 +162,9 @@
     slots and use all of them at once.
     """
 
-    def __init__(self, rate_slots: RateSlots, slots_per_s: float, now: float, wall: float) -> None:
+    def __init__(self, rate_slots: RateSlots, slots_per_s: float, now: float, wall_clock_s: float) -> None:
         self.rate_slots = rate_slots
-        self.time_slots = TimeSlots(rate_slots.own_id, rate_slots.proxies, slots_per_s, now, wall)
+        self.time_slots = TimeSlots(rate_slots.own_id, rate_slots.proxies, slots_per_s, now, wall_clock_s)
         self.last_used_at = -inf
         self.returned_slots: list[float] = []  # times of slots that were taken and not needed, ascending
         self.demand = SlotDemand()
--- a/calicofall/proxy/outlier_reports.py
+++ b/calicofall/proxy/outlier_reports.py
@@ -51,7 +51,7 @@
         router: The router, which ejects and reinstates endpoints.
         endpoint_names: Returns the names of the endpoints on the list.
         send: Sends a message to a proxy.
-        live_members: Returns the numbers of the proxies that are alive.
+        alive_members: Returns the numbers of the proxies that are alive.
         now_ms: Returns the time on the router's clock.
         hot_keys: Finds keys that the whole fleet often requests; None if that is not configured.
     """
@@ -66,7 +66,7 @@
         router: Router,
         endpoint_names: Callable[[], set[str]],
         send: Callable[[int, EvidenceMessage | KeyCountMessage], None],
-        live_members: Callable[[], list[int]],
+        alive_members: Callable[[], list[int]],
         now_ms: Callable[[], float],
         hot_keys: HotKeyDetector | None = None,
     ) -> None:
@@ -74,7 +74,7 @@
         self.router = router
         self.endpoint_names = endpoint_names
         self.send = send
-        self.live_members = live_members
+        self.alive_members = alive_members
         self.now_ms = now_ms
         self.consensus = OutlierConsensus(proxy_number, incarnation, name_digest(zone), random_generator)
         self.answer_sizes = AnswerSizeStatistics()
@@ -197,7 +197,7 @@
     def _ask_for_evidence(self, now: float) -> float:
         degraded = {name_digest(name) for name in self.router.degraded_endpoints(self.now_ms())}
         doubted_digests = degraded & self.names_by_digest.keys()
-        messages, next_at = self.consensus.wake(now, self.live_members(), doubted_digests)
+        messages, next_at = self.consensus.wake(now, self.alive_members(), doubted_digests)
         for peer, message in messages:
             self.send(peer, message)
         return next_at
@@ -209,7 +209,7 @@
             act(now, endpoint, decision.health, decision.unhealthy_votes, decision.votes)
 
     def _find_hot_keys(self, now: float, hot_keys: HotKeyDetector) -> float:
-        messages, next_at = hot_keys.wake(now, self.live_members())
+        messages, next_at = hot_keys.wake(now, self.alive_members())
         for peer, message in messages:
             self.send(peer, message)
         for key, rate_per_s in hot_keys.take_new_findings():
--- a/calicofall/proxy/quota_enforcement.py
+++ b/calicofall/proxy/quota_enforcement.py
@@ -49,13 +49,13 @@
         proxies: The number of proxies.
         lease_s: The duration of a lease.
         random_generator: The source of random numbers.
-        warm_rate_per_s: Requests a second that a warm endpoint of weight 1 serves; None or 0 for no limit on
-            cold ones.
+        endpoint_capacity_per_s: Requests a second that a warm endpoint of weight 1 serves; None or 0 for no
+            limit on cold ones.
         rules: The settings' rules, of which only `cold_share` is used.
         endpoint_count: Returns the number of endpoints.
         send: Sends a message to a proxy.
-        live_members: Returns the numbers of the proxies that are alive.
-        apply_shares: Called with this proxy's shares of each tenant's rate and of `warm_rate_per_s`
+        alive_members: Returns the numbers of the proxies that are alive.
+        apply_shares: Called with this proxy's shares of each tenant's rate and of `endpoint_capacity_per_s`
             (requests a second).
         rate_slots: By limit, the leased slots, and a function that returns how many slots of a round of slots
             would be used without the limit, at a given time.
@@ -72,11 +72,11 @@
         proxies: int,
         lease_s: float,
         random_generator: Random,
-        warm_rate_per_s: float | None,
+        endpoint_capacity_per_s: float | None,
         rules: dict[str, Any],
         endpoint_count: Callable[[], int],
         send: Callable[[int, QuotaLeaseMessage], None],
-        live_members: Callable[[], list[int]],
+        alive_members: Callable[[], list[int]],
         apply_shares: Callable[[dict[str, float], float | None], None],
         rate_slots: dict[str, tuple[RateSlots, Callable[[float], float]]],
         in_flight_quota: InFlightQuota | None = None,
@@ -89,11 +89,11 @@
         self.proxies = proxies
         self.lease_s = lease_s
         self.random_generator = random_generator
-        self.warm_rate_per_s = warm_rate_per_s
+        self.endpoint_capacity_per_s = endpoint_capacity_per_s
         self.rules = rules
         self.endpoint_count = endpoint_count
         self.send = send
-        self.live_members = live_members
+        self.alive_members = alive_members
         self.apply_shares = apply_shares
         self.rate_slots = rate_slots
         self.in_flight_quota = in_flight_quota
@@ -127,7 +127,7 @@
 
     def _limit_names(self) -> list[str]:
         names = [f"{RATE_LIMIT_PREFIX}{tenant}" for tenant in self.tenant_rates_per_s]
-        if self.warm_rate_per_s:
+        if self.endpoint_capacity_per_s:
             names.append(WARM_UP_LIMIT)
         if self.in_flight_quota is not None:
             names.append(IN_FLIGHT_LIMIT)
@@ -187,9 +187,9 @@
         self.valid_until = min(
             (leases.next_change_at(now) for leases in self.leases.values()), default=float("inf")
         )
-        warm_rate_share_per_s = self.warm_rate_per_s
-        if warm_rate_share_per_s:
-            warm_rate_share_per_s *= shares[WARM_UP_LIMIT]
+        endpoint_capacity_share_per_s = self.endpoint_capacity_per_s
+        if endpoint_capacity_share_per_s:
+            endpoint_capacity_share_per_s *= shares[WARM_UP_LIMIT]
         if self.in_flight_quota is not None:
             leases = self.leases[name_digest(IN_FLIGHT_LIMIT)]
             # Only units that are held for as long as a request may take are counted. Without this, requests
@@ -200,17 +200,17 @@
             tenant: rate_per_s * shares[f"{RATE_LIMIT_PREFIX}{tenant}"]
             for tenant, rate_per_s in self.tenant_rates_per_s.items()
         }
-        self.apply_shares(tenant_shares_per_s, warm_rate_share_per_s)
+        self.apply_shares(tenant_shares_per_s, endpoint_capacity_share_per_s)
 
     def wake(self) -> None:
         """Reports the demand to the leases, sends their messages, and schedules the next round."""
         now = self.loop.time()
         demand = self.demand_per_s(now)
         next_at = now + ROUND_INTERVAL_S
-        live_members = self.live_members()
+        alive_members = self.alive_members()
         for digest, leases in self.leases.items():
             leases.set_demand(self.wanted_units(now, self.names_by_digest[digest], demand))
-            messages, wake_at = leases.wake(now, live_members)
+            messages, wake_at = leases.wake(now, alive_members)
             for peer, message in messages:
                 self.send(peer, message)
             next_at = min(next_at, wake_at)
@@ -237,13 +237,13 @@
         return int(UNITS * max(quota.demand(now), quota.max_in_flight()) / self.in_flight_limit)
 
     def _wanted_warm_up_units(self, demand: dict[str | None, float]) -> int:
-        if not self.warm_rate_per_s:
+        if not self.endpoint_capacity_per_s:
             return 0  # there is no such limit
         # A cold endpoint would be sent an equal part of this proxy's requests, as each endpoint is, and can
         # serve only a fraction (`cold_share`) of a warm endpoint's rate.
         cold_share = self.rules.get("cold_share") or DEFAULT_COLD_SHARE
-        capacity_per_s = self.warm_rate_per_s * cold_share * max(1, self.endpoint_count())
-        return int(UNITS * sum(demand.values()) / capacity_per_s)
+        cold_capacity_per_s = self.endpoint_capacity_per_s * cold_share * max(1, self.endpoint_count())
+        return int(UNITS * sum(demand.values()) / cold_capacity_per_s)
 
     def on_message(self, message: QuotaLeaseMessage) -> None:
         """Handles a peer's message; ignores one on a limit that is not known here (yet, or any more)."""
--- a/calicofall/recording/recording_router.py
+++ b/calicofall/recording/recording_router.py
@@ -142,7 +142,7 @@
         self,
         now: float,
         request: Request,
-        number: int,
+        attempt_index: int,
         outcome: str,
         latency_ms: float,
         cache_status: str | None = None,
@@ -152,13 +152,13 @@
         """Records the outcome of an attempt, and the next decision."""
         expires_at = request.expires_at
         endpoint = super().report_attempt(
-            now, request, number, outcome, latency_ms, cache_status, load_report, is_final
+            now, request, attempt_index, outcome, latency_ms, cache_status, load_report, is_final
         )
         self._record(
             events.AttemptReported(
                 now,
                 request.id,
-                number,
+                attempt_index,
                 outcome,
                 latency_ms,
                 cache_status,
@@ -174,10 +174,10 @@
         )
         return endpoint
 
-    def on_response_started(self, now: float, request: Request, number: int) -> None:
+    def on_response_started(self, now: float, request: Request, attempt_index: int) -> None:
         """Records that the proxy started to pass a response to the client."""
-        self._record(events.ResponseStarted(now, request.id, number))
-        super().on_response_started(now, request, number)
+        self._record(events.ResponseStarted(now, request.id, attempt_index))
+        super().on_response_started(now, request, attempt_index)
 
     def on_client_disconnected(self, now: float, request: Request) -> list[int]:
         """Records that a client disconnected, and which attempts were cancelled."""
--- a/calicofall/recording/state_schema.py
+++ b/calicofall/recording/state_schema.py
@@ -321,7 +321,7 @@
     "taken": "requests",
     "spent": "extra_attempts",
 }
-RPC_FIELDS: Fields = {
+REQUEST_FIELDS: Fields = {
     "id": "id",
     "method": "method",
     "tenant": "tenant",
@@ -413,7 +413,7 @@
     StoredClass("Cache", Endpoint, CACHE_FIELDS),
     StoredClass("Ring", SlidingWindow, RING_FIELDS),
     StoredClass("Budget", RetryBudget, BUDGET_FIELDS),
-    StoredClass("Rpc", Request, RPC_FIELDS),
+    StoredClass("Rpc", Request, REQUEST_FIELDS),
     StoredClass("Transmission", Attempt, TRANSMISSION_FIELDS),
 )
 BY_STORED_NAME = {stored.name: stored for stored in STORED_CLASSES}
--- a/calicofall/routing/attempt_observer.py
+++ b/calicofall/routing/attempt_observer.py
@@ -74,7 +74,7 @@
         self,
         now: float,
         request: Request,
-        number: int,
+        attempt_index: int,
         latency_ms: float,
         cache_status: str | None,
         load_report: object,
@@ -84,12 +84,12 @@
         Args:
             now: Current time (ms).
             request: The request, which holds the outcome of the attempt.
-            number: Index of the attempt in the request; an attempt at no known cache is ignored.
+            attempt_index: Index of the attempt in the request; an attempt at no known cache is ignored.
             latency_ms: How long the attempt took.
             cache_status: Cache status of the answer, such as `fetched`.
             load_report: Load report that came with the answer; ignored if it is no map.
         """
-        attempt = request.attempts[number]
+        attempt = request.attempts[attempt_index]
         outcome = attempt.outcome
         endpoint = self._endpoints.cache(attempt.endpoint)
         if outcome is None or endpoint is None:
--- a/calicofall/routing/retry_policy.py
+++ b/calicofall/routing/retry_policy.py
@@ -101,12 +101,12 @@
         elif request.attempts:
             self.budget.extra_attempts.add(now)
 
-    def on_result(self, now: float, request: Request, number: int) -> None:
+    def on_result(self, now: float, request: Request, attempt_index: int) -> None:
         """Updates the request's groups with the outcome of a retry after an error."""
-        outcome = request.attempts[number].outcome
-        if not number or outcome not in (AttemptOutcome.ERROR, AttemptOutcome.COMPLETED):
+        outcome = request.attempts[attempt_index].outcome
+        if not attempt_index or outcome not in (AttemptOutcome.ERROR, AttemptOutcome.COMPLETED):
             return
-        if request.attempts[number - 1].outcome != AttemptOutcome.ERROR:
+        if request.attempts[attempt_index - 1].outcome != AttemptOutcome.ERROR:
             return
         failed = float(outcome == AttemptOutcome.ERROR)
         for group in request.groups():
--- a/calicofall/routing/router.py
+++ b/calicofall/routing/router.py
@@ -78,7 +78,7 @@
         self,
         now: float,
         request: Request,
-        number: int,
+        attempt_index: int,
         outcome: str,
         latency_ms: float,
         cache_status: str | None = None,
@@ -90,7 +90,7 @@
         Args:
             now: Current time (ms).
             request: The request.
-            number: Index of the attempt in the request.
+            attempt_index: Index of the attempt in the request.
             outcome: Value of an `AttemptOutcome`.
             latency_ms: How long the attempt took.
             cache_status: Cache status of the answer, such as `hit`.
@@ -103,7 +103,7 @@
         Raises:
             KeyError: `outcome` is no value of `AttemptOutcome`.
         """
-        attempt = request.attempts[number]
+        attempt = request.attempts[attempt_index]
         attempt.outcome = OUTCOME_BY_NAME[outcome]
         if outcome == AttemptOutcome.COMPLETED and not request.finished:
             request.answer = COMPLETED
@@ -111,17 +111,19 @@
         if outcome in OUTCOMES_NEVER_RUN or cache_status in NOT_FETCHED:
             self._return_slots(now, attempt)
         self._update_next_slot(now)
-        decision = self.policy.on_attempt_result(now, request, number, latency_ms, cache_status, load_report)
+        decision = self.policy.on_attempt_result(
+            now, request, attempt_index, latency_ms, cache_status, load_report
+        )
         endpoint = None if request.finished else self._apply_decision(now, request, decision)
         self._remove_if_done(request)
         return endpoint
 
-    def on_response_started(self, now: float, request: Request, number: int) -> None:
+    def on_response_started(self, now: float, request: Request, attempt_index: int) -> None:
         """Notes that the answer of an attempt is being streamed: the request gets no other attempt."""
         request.streaming = True
-        attempt = request.attempts[number]
+        attempt = request.attempts[attempt_index]
         attempt.outcome = AttemptOutcome.RESPONSE_STARTED
-        self.policy.on_attempt_result(now, request, number, 0.0, None, None)
+        self.policy.on_attempt_result(now, request, attempt_index, 0.0, None, None)
         attempt.outcome = None  # set again when the stream ends
 
     def on_client_disconnected(self, now: float, request: Request) -> list[int]:
@@ -129,9 +131,9 @@
         if request.finished:
             return []
         request.finished = True
-        numbers = self.policy.on_client_disconnected(now, request)
+        attempt_indices = self.policy.on_client_disconnected(now, request)
         self._remove_if_done(request)
-        return numbers
+        return attempt_indices
 
     def next_due_request(self, now: float) -> Request | None:
         """Returns the first request whose wait has ended, to be routed again, and removes it."""
@@ -311,9 +313,9 @@
         placement = self.policy.placement
         return placement.ranking(request.key, placement.constraints[request.method])
 
-    def is_still_allowed(self, now: float, request: Request, number: int) -> bool:
+    def is_still_allowed(self, now: float, request: Request, attempt_index: int) -> bool:
         """Returns whether an attempt is still allowed, checked right before it is sent."""
-        attempt = request.attempts[number]
+        attempt = request.attempts[attempt_index]
         endpoint = self.policy.endpoints.cache(attempt.endpoint)
         if endpoint is None:
             return True
--- a/calicofall/startup/connection_quotas.py
+++ b/calicofall/startup/connection_quotas.py
@@ -38,8 +38,8 @@
         proxies: How many proxies share the limits.
         handshakes_per_s: Handshakes per second at one endpoint, over the fleet.
         connections: Connections at one endpoint, over the fleet.
-        capacity_per_s: Requests per second that a warm endpoint of weight 1 can serve.
-        overload_factor: The multiple of its capacity at which an endpoint in warm-up fails.
+        endpoint_capacity_per_s: Requests per second that a warm endpoint of weight 1 can serve.
+        overload_multiple: The multiple of its capacity at which an endpoint in warm-up fails.
         rate_slots: The handshake slots that this proxy holds, where proxies lease slots to each other.
     """
 
@@ -50,8 +50,8 @@
         proxies: int,
         handshakes_per_s: float | None = None,
         connections: int | None = None,
-        capacity_per_s: float | None = None,
-        overload_factor: float | None = None,
+        endpoint_capacity_per_s: float | None = None,
+        overload_multiple: float | None = None,
         rate_slots: RateSlots | None = None,
     ) -> None:
         self._proxy_number = proxy_number
@@ -61,23 +61,25 @@
             0, proxy_number, 0, self._proxies, 0.0, 0.0, 0.0, Random(proxy_number)
         )
         self.max_connections = connections // self._proxies if connections is not None else None
-        # Requests per millisecond and unit of weight. During warm-up, the router admits `overload_factor`
+        # Requests per millisecond and unit of weight. During warm-up, the router admits `overload_multiple`
         # times an endpoint's share of them. If no capacity is configured, a completely new fleet sends each
         # endpoint in warm-up only three requests per second in total, however many the endpoint could serve.
         self.capacity_share_per_ms = (
-            (capacity_per_s or 0.0) / 1000.0 / self._proxies / (overload_factor or 1.0)
+            (endpoint_capacity_per_s or 0.0) / 1000.0 / self._proxies / (overload_multiple or 1.0)
         )
         self.slots_by_endpoint: dict[str, HandshakeSlots] = {}
         self._demand: dict[str, SlotDemand] = {}  # handshakes that would be made without a limit
 
-    def take_slot(self, name: str, offset: int, now: float, wall: float, needed: bool = True) -> float:
+    def take_slot(
+        self, name: str, offset: int, now: float, wall_clock_s: float, needed: bool = True
+    ) -> float:
         """Takes the next handshake slot of an endpoint and returns its time, in seconds.
 
         Args:
             name: The endpoint's name.
             offset: Shifts the order in which proxies have their slots at this endpoint.
             now: The monotonic clock, in seconds.
-            wall: The clock that all proxies share, in seconds.
+            wall_clock_s: The clock that all proxies share, in seconds.
             needed: Whether a request needs the connection, so that it counts as demand.
         """
         if self.handshakes_per_s is None:
@@ -85,7 +87,7 @@
         slots = self.slots_by_endpoint.get(name)
         if slots is None:
             slots = HandshakeSlots(
-                TimeSlots(self._proxy_number, self._proxies, self.handshakes_per_s, now, wall, offset)
+                TimeSlots(self._proxy_number, self._proxies, self.handshakes_per_s, now, wall_clock_s, offset)
             )
         slot = self.rate_slots.next_slot_at(
             slots.time_slots, now, max(now, slots.last_taken_at_s + slots.time_slots.gap_s / 2.0)
--- a/calicofall/startup/discovery_schedule.py
+++ b/calicofall/startup/discovery_schedule.py
@@ -45,7 +45,7 @@
     """Computes the time of a proxy's next attempt.
 
     Args:
-        random: The source of jitter.
+        random_generator: The source of jitter.
         proxies: How many proxies ask the same service.
         max_backoff_s: The upper limit of a backoff, in seconds.
         time_slots: The proxy's time slots, or None if the settings do not state the service's rate.
@@ -53,12 +53,12 @@
 
     def __init__(
         self,
-        random: Random,
+        random_generator: Random,
         proxies: int = 1,
         max_backoff_s: float = MAX_BACKOFF_S,
         time_slots: TimeSlots | None = None,
     ) -> None:
-        self._random = random
+        self._random_generator = random_generator
         self.time_slots = time_slots
         # Backoffs grow with the fleet. Otherwise, proxies that all lose their watches at once would keep an
         # overloaded service busy with refusals.
@@ -103,7 +103,7 @@
         else:
             limit_s = max(MAX_REOPEN_PAUSE_S, self._pause_s)
             self._pause_s = min(limit_s, max(REOPEN_PAUSE_S, self._pause_s * 2))
-        return now + self._pause_s * self._random.uniform(JITTER_LOW, JITTER_HIGH)
+        return now + self._pause_s * self._random_generator.uniform(JITTER_LOW, JITTER_HIGH)
 
     def retry_at_after_refusal(self, now: float, retry_after_s: float = 0.0) -> float:
         """When to retry after a refusal (monotonic clock, in seconds).
@@ -120,7 +120,7 @@
         self._pause_s = min(self._max_backoff_s, max(self._first_backoff_s, self._pause_s * 2))
         # With a narrow first jitter, proxies refused in the same second would retry in the same second.
         low = FIRST_JITTER_LOW if self._refusals == 1 else JITTER_LOW
-        backoff_s = self._pause_s * self._random.uniform(low, JITTER_HIGH)
+        backoff_s = self._pause_s * self._random_generator.uniform(low, JITTER_HIGH)
         return now + max(min(retry_after_s, self._max_backoff_s), backoff_s)
 
     def postponed_until(self, now: float) -> float | None:
--- a/calicofall/startup/snapshot.py
+++ b/calicofall/startup/snapshot.py
@@ -46,28 +46,30 @@
     return f"{name} {body_digest(identity)[:16].decode()}"
 
 
-def encode_snapshot(owner: str, wall: float, endpoint_list: dict[str, Any], learned: dict[str, Any]) -> bytes:
+def encode_snapshot(
+    owner: str, wall_clock_s: float, endpoint_list: dict[str, Any], learned: dict[str, Any]
+) -> bytes:
     """Encodes a snapshot as the bytes of its file.
 
     Args:
         owner: The owner, from `snapshot_owner`.
-        wall: The system's clock, in seconds.
+        wall_clock_s: The system's clock, in seconds.
         endpoint_list: The endpoint list in the form of the discovery service.
         learned: The learned state of the router, as plain values.
     """
-    body = orjson.dumps({"proxy": owner, "at": wall, "known": endpoint_list, "learned": learned})
+    body = orjson.dumps({"proxy": owner, "at": wall_clock_s, "known": endpoint_list, "learned": learned})
     return MAGIC + b"%d %b\n" % (VERSION, body_digest(body)) + body
 
 
 def decode_snapshot(
-    data: bytes, owner: str, wall: float, max_age_s: float
+    data: bytes, owner: str, wall_clock_s: float, max_age_s: float
 ) -> tuple[dict[str, Any], dict[str, Any], float]:
     """Decodes a snapshot; returns the endpoint list, the learned state, and the snapshot's age in seconds.
 
     Args:
         data: The bytes of the file.
         owner: The expected owner, from `snapshot_owner`.
-        wall: The system's clock, in seconds.
+        wall_clock_s: The system's clock, in seconds.
         max_age_s: The maximum age, in seconds.
 
     Raises:
@@ -76,7 +78,7 @@
     body = _verified_body(data)
     try:
         content = orjson.loads(body)
-        age_s = wall - float(content["at"])
+        age_s = wall_clock_s - float(content["at"])
         _verify_owner_and_age(content, owner, age_s, max_age_s)
         _verify_content(content)
     except (ValueError, KeyError, TypeError) as error:
--- a/calicofall/startup/time_slots.py
+++ b/calicofall/startup/time_slots.py
@@ -23,20 +23,22 @@
         proxies: How many proxies share the rate.
         rate: Slots per second over the whole fleet.
         now: The proxy's monotonic clock, in seconds.
-        wall: The shared clock at the same moment, in seconds.
+        wall_clock_s: The shared clock at the same moment, in seconds.
         offset: Shifts the order of the proxies, so that each use of slots can have an order of its own.
     """
 
     def __init__(
-        self, proxy_number: int, proxies: int, rate: float, now: float, wall: float, offset: int = 0
+        self, proxy_number: int, proxies: int, rate: float, now: float, wall_clock_s: float, offset: int = 0
     ) -> None:
         self.gap_s = 1.0 / rate  # between the slots of consecutive proxies
         self.proxies = max(1, proxies)
         self.offset = offset
         self.period_s = self.proxies * self.gap_s  # between two slots of this proxy
-        self._phase_s = (proxy_number + offset) % self.proxies * self.gap_s - wall % self.period_s + now
+        self._phase_s = (
+            (proxy_number + offset) % self.proxies * self.gap_s - wall_clock_s % self.period_s + now
+        )
         self.created_at_s = now
-        self.created_at_wall_s = wall
+        self.created_at_wall_s = wall_clock_s
 
     def next_slot_at(self, now: float, contending_fraction: float = 1.0) -> float:
         """The time of the first slot from `now` on, in seconds on the monotonic clock.
--- a/tests/test_hot_keys.py
+++ b/tests/test_hot_keys.py
@@ -58,7 +58,7 @@
 
     def _message(self, now: float, is_query: bool, correlation_id: int, key: int) -> KeyCountMessage:
         message = super()._message(now, is_query, correlation_id, key)
-        return message if is_query or self.own_id else message._replace(requests=10**9, counted_ms=1)
+        return message if is_query or self.proxy_number else message._replace(requests=10**9, counted_ms=1)
 
 
 class KeepsHighestCount(HotKeyDetector):
@@ -86,7 +86,8 @@
 
 def test_key_with_demand_at_one_member_alone_is_not_hot() -> None:
     detectors = [
-        HotKeyDetector(own_id, 1, 50, ENDPOINT_CAPACITY_PER_S, 0.0, Random(own_id)) for own_id in range(50)
+        HotKeyDetector(proxy_number, 1, 50, ENDPOINT_CAPACITY_PER_S, 0.0, Random(proxy_number))
+        for proxy_number in range(50)
     ]
     for _ in range(400):
         detectors[3].record_request(1.0, 9)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -38,7 +38,7 @@
         self.enforcement, self.sent_messages = self.proxy.quotas, []
         if self.enforcement is not None:
             self.enforcement.send = lambda peer, message: self.sent_messages.append((peer, message))
-            self.enforcement.live_members = lambda: [1, 2, 3]
+            self.enforcement.alive_members = lambda: [1, 2, 3]
 
     def node_file(self, *values: int, **settings: object) -> dict:
         return ProxyHarness.node_file(*values, **settings) | {
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -54,9 +54,11 @@
 
     def __init__(self, size: int, lost: float) -> None:
         self.fleet = make_fleet(size)
-        self.rng = Random(1)
+        self.random_generator = Random(1)
         self.lost = lost
-        self.next_round_at = {proxy.own_id: self.rng.uniform(0.0, ROUND_INTERVAL_S) for proxy in self.fleet}
+        self.next_round_at = {
+            proxy.proxy_number: self.random_generator.uniform(0.0, ROUND_INTERVAL_S) for proxy in self.fleet
+        }
         self.polled_at = {0: 0.0}
         self.sent = 0
         self.fleet[0].set_own_list(0.0, 8, NEW_LIST)
@@ -70,7 +72,7 @@
         self.next_round_at[me] = now + ROUND_INTERVAL_S
         for receiver in receivers:
             self.sent += 2
-            if self.rng.random() >= self.lost:
+            if self.random_generator.random() >= self.lost:
                 self.fleet[receiver].on_message(now, request)
                 proxy.on_message(now, self.fleet[receiver].make_message(now, False, request.correlation_id))
         if proxy.claim_poll(now) is not None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -82,9 +82,11 @@
     ) -> MembershipProbe:
         message = super()._message(kind, correlation_id, subject, subject_incarnation)
         suspicions = [
-            (member, peer.incarnation, self.own_id) for member, peer in self.peers.items() if peer.incarnation
+            (member, peer.incarnation, self.proxy_number)
+            for member, peer in self.peers.items()
+            if peer.incarnation
         ]
-        sampled = self.rng.sample(suspicions, min(4, len(suspicions)))
+        sampled = self.random_generator.sample(suspicions, min(4, len(suspicions)))
         return message._replace(suspicions=tuple(number for suspicion in sampled for number in suspicion))
 
 
--- a/tests/test_outlier_consensus.py
+++ b/tests/test_outlier_consensus.py
@@ -463,7 +463,7 @@
         super().__init__(endpoints)
         self.outlier_reports, self.sent_messages = self.proxy.outliers, []
         self.outlier_reports.send = lambda peer, message: self.sent_messages.append((peer, message))
-        self.outlier_reports.live_members = lambda: list(range(1, 9))
+        self.outlier_reports.alive_members = lambda: list(range(1, 9))
         self.outlier_reports.wake()  # learns the endpoint list
         self.outlier_reports.timer.cancel()
         self.loop.advance(0.6)
