--- a/calicofall/proxy/server.py
+++ b/calicofall/proxy/server.py
@@ -340,7 +340,7 @@
                 self.gossip.send,
                 self.gossip.membership.alive_members,
                 self.now_ms,
-                # A key is hot by its requests relative to an endpoint's capacity, which has to be known.
+                # A key is hot if its rate exceeds a part of an endpoint's capacity, which has to be known.
                 endpoint_capacity_per_s
                 and HotKeyDetector(
                     proxy_number,
@@ -725,7 +725,7 @@
             command: The attempt's command.
             outcome: How the attempt ended.
             answer: The value; of a streamed value, the part that the client has not been sent yet.
-            cache_status: The endpoint's note on the answer, such as `hit`.
+            cache_status: How the endpoint got the value, such as `hit`; None if unknown.
             load_report: The endpoint's load report, if any.
         """
         now, active_request = self.now_ms(), command.active_request
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -34,6 +34,7 @@
     client = harness.client()
     client.feed(encode_request())
     upstream = harness.connect_upstream()
+    # `d`, the time left until the deadline (ms), is forwarded.
     assert b"d=900" in upstream.sent and upstream.take().startswith(b"*4\r\n$5\r\nC.GET\r\n")
     upstream.feed(encode_reply(b"fresh"))
     assert client.take() == b"$5\r\nfresh\r\n"
@@ -878,6 +879,7 @@
         message[: len(expected)]
         for message, expected in zip(adapter_decisions, router_decisions, strict=True)
     ] == router_decisions
+    # Requests were forwarded and rejected; with this seed, a rejection is always of the kind "NotNow".
     assert len(router_decisions) > 2000 and len({message[0] for message in router_decisions}) == 2
 
 
