--- a/calicofall/proxy/gossip_transport.py
+++ b/calicofall/proxy/gossip_transport.py
@@ -34,7 +34,7 @@
         loop: The event loop.
         contention: Samples which peers wait for an endpoint list; also holds this proxy's number, the number
             of proxies, and the random generator.
-        fleet: The fleet's name, which each datagram carries.
+        fleet_name: The fleet's name, which each datagram carries.
         incarnation: The number of this proxy's incarnation.
         addresses: Host and port of each proxy, by number.
         has_live_watch: Returns whether this proxy has a live watch on the endpoint list.
@@ -44,14 +44,14 @@
         self,
         loop: asyncio.AbstractEventLoop,
         contention: ContentionEstimate,
-        fleet: str,
+        fleet_name: str,
         incarnation: int,
         addresses: list[tuple[str, int]],
         has_live_watch: Callable[[], bool],
     ) -> None:
         self.loop = loop
         self.contention = contention
-        self.fleet = fleet
+        self.fleet_name = fleet_name
         self.incarnation = incarnation
         self.addresses = addresses
         self.has_live_watch = has_live_watch
@@ -167,7 +167,9 @@
     def send(self, peer: int, message: peer_messages.PeerMessage) -> None:
         """Sends one datagram; does nothing while the socket is not open."""
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.sendto(peer_messages.encode_message(self.fleet, message), self.addresses[peer])
+            self.transport.sendto(
+                peer_messages.encode_message(self.fleet_name, message), self.addresses[peer]
+            )
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
         """Handles a peer's message, or counts a dropped datagram with the reason.
@@ -176,7 +178,7 @@
         datagram's source address.
         """
         try:
-            message = peer_messages.decode_message(data, self.fleet, self.contention.proxies)
+            message = peer_messages.decode_message(data, self.fleet_name, self.contention.proxies)
         except peer_messages.InvalidMessageError as error:
             self.count_dropped(str(error))
             return
--- a/calicofall/startup/peer_messages.py
+++ b/calicofall/startup/peer_messages.py
@@ -73,18 +73,18 @@
     return int.from_bytes(blake2b(name.encode(), digest_size=NAME_DIGEST_BYTES).digest())
 
 
-def encode_message(fleet: str, message: PeerMessage) -> bytes:
+def encode_message(fleet_name: str, message: PeerMessage) -> bytes:
     """Encodes a message as a datagram of a fleet."""
-    body = orjson.dumps([VERSION, fleet, MESSAGE_TYPES.index(type(message)), *message])
+    body = orjson.dumps([VERSION, fleet_name, MESSAGE_TYPES.index(type(message)), *message])
     return _digest(body) + body
 
 
-def decode_message(data: bytes, fleet: str, proxies: int) -> PeerMessage:
+def decode_message(data: bytes, fleet_name: str, proxies: int) -> PeerMessage:
     """Decodes a datagram.
 
     Args:
         data: The bytes of the datagram.
-        fleet: The name of the receiver's fleet.
+        fleet_name: The name of the receiver's fleet.
         proxies: How many proxies the fleet has; the sender's number has to be lower.
 
     Raises:
@@ -102,7 +102,7 @@
         raise InvalidMessageError("form") from error
     if version != VERSION:
         raise InvalidMessageError("version")
-    if name != fleet:
+    if name != fleet_name:
         raise InvalidMessageError("fleet")
     if not _has_valid_fields(message) or message.sender >= proxies:
         raise InvalidMessageError("form")
