--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -650,7 +650,7 @@
     """A connection was closed after its next reply, despite complete commands already read from it."""
     harness = ProxyHarness().with_high_limits()
     client = harness.client()
-    client.feed(b"".join(encode_request(key=1) for _ in range(18)))  # two more than are read ahead
+    client.feed(b"".join(encode_request(key=1) for _ in range(18)))  # two more than MAX_PIPELINED_COMMANDS
     harness.sigterm()
     for number in range(20):
         for index in range(len(harness.loop.connect_requests)):
