--- a/calicofall/cli/replay.py
+++ b/calicofall/cli/replay.py
@@ -12,15 +12,23 @@
 from calicofall.cli.record_files import MALFORMED, ExitCode, RecordCommandError, SegmentFile, open_segments
 from calicofall.config.settings import normalize_settings, settings_on_sockets, validate_settings
 from calicofall.recording.replayer import Replayer, ReplayMismatchError
+from calicofall.recording.state_schema import BY_LIVE_CLASS, ROUTER, STORED_CLASSES
+from calicofall.recording.stored_class import StoredClass, UnsupportedStateError, attribute_names
+from calicofall.routing.router import Router
 
 SHOWN_EVENT_LENGTH = 160  # characters
 # Settings that belong to the recorded proxy and are kept when other settings are used.
 OWN_SETTINGS = ("proxies", "me", "zone", "bears")
 
+# Exit code of REPLAY_TO_OTHER_ROUTER if that router lacks names that this version's replayer uses. It differs
+# from the exit codes of a replay.
+OTHER_NAMES = 10
 # Replays records on the router of another version, with this version's replayer, as this version's replayer
 # can read the records. The packages `recording` and `cli` are this version's, all others are those of the
 # version in PYTHONPATH.
-REPLAY_TO_OTHER_ROUTER = """
+REPLAY_TO_OTHER_ROUTER = (
+    f"OTHER_NAMES = {OTHER_NAMES}"
+    + """
 import importlib.util, sys
 import calicofall
 for name in ("recording", "cli"):
@@ -31,20 +39,26 @@
     sys.modules[f"calicofall.{name}"] = module
     spec.loader.exec_module(module)
 try:
-    from calicofall.cli.replay import replay_here
-except ImportError as missing:
-    sys.exit(f"Error: that version is too old: {missing}")
+    from calicofall.cli.replay import replay_here, router_has_names
+except ImportError:
+    sys.exit(OTHER_NAMES)
+if not router_has_names(sys.argv[2]):
+    sys.exit(OTHER_NAMES)
 replay_here(sys.argv[2:])
 """
-# Versions whose router is in `facade.py` have different names throughout, so they use their own replayer.
+)
+# Replays records with another version's own replayer, a function of one of its modules.
 REPLAY_WITH_OWN_REPLAYER = """
 import sys
 try:
-    from calicofall.recording.__main__ import trial
+    from {module} import {function} as replay_records
 except ImportError as missing:
-    sys.exit(f"Error: that version is too old: {missing}")
-trial(sys.argv[2:])
+    sys.exit(f"Error: that version is too old: {{missing}}")
+replay_records(sys.argv[2:])
 """
+OWN_REPLAYER = REPLAY_WITH_OWN_REPLAYER.format(module="calicofall.cli.replay", function="replay_here")
+# The replayer of versions whose router is in `facade.py`.
+FACADE_REPLAYER = REPLAY_WITH_OWN_REPLAYER.format(module="calicofall.recording.__main__", function="trial")
 
 
 @click.command()
@@ -176,6 +190,9 @@
 def replay_to_version(folder: Path, names: Iterable[str]) -> int:
     """Replays records with another version of the program, in a separate process.
 
+    A version whose router lacks names that this version's replayer uses is replayed with its own replayer. It
+    runs in a new process, because modules of this version are already imported in the first one.
+
     Args:
         folder: A checkout of that version.
         names: Files and folders of records.
@@ -188,7 +205,7 @@
     """
     package = folder / "calicofall"
     if (package / "facade.py").exists():
-        script = REPLAY_WITH_OWN_REPLAYER
+        script = FACADE_REPLAYER
     elif (package / "routing").is_dir():
         script = REPLAY_TO_OTHER_ROUTER
     else:
@@ -196,12 +213,57 @@
             f"{folder}: expected a checkout of calicofall, found no package `calicofall` with a router"
         )
     paths = [str(segment.path.resolve()) for segment in open_segments(names)]
+    code = run_script(script, folder, paths)
+    if script == REPLAY_TO_OTHER_ROUTER and code == OTHER_NAMES:
+        code = run_script(OWN_REPLAYER, folder, paths)
+    return code
+
+
+def run_script(script: str, folder: Path, paths: list[str]) -> int:
+    """Runs a replay script in a process that imports another version, and returns its exit code."""
     this_package = str(Path(__file__).parent.parent.resolve())
     environment = {"PYTHONPATH": str(folder.resolve()), "PATH": ""}
     command = [sys.executable, "-c", script, this_package, *paths]
     return subprocess.run(command, env=environment, check=False, cwd=folder).returncode
 
 
+def router_has_names(name: str) -> bool:
+    """Returns whether the imported router has the attributes that this version's replayer reads and sets.
+
+    Setting an attribute that the router calls by another name may raise no error. The router would ignore the
+    value, and could make other decisions for that reason alone.
+
+    Args:
+        name: A record, whose settings the router is created with.
+    """
+    head = SegmentFile(Path(name)).head
+    try:
+        router = Router(head["deployment"], int(head["seed"]), head["now"])
+        read_stored_attributes(ROUTER, router)
+    except UnsupportedStateError:
+        return False
+    except MALFORMED:
+        return True  # the router does not accept the settings, which the replay reports
+    return hasattr(router, "origin_slots") and all(map(has_stored_slots, STORED_CLASSES))
+
+
+def read_stored_attributes(stored: StoredClass, instance: object) -> None:
+    """Reads all stored attributes of an object and of the objects that it holds directly.
+
+    Raises:
+        UnsupportedStateError: An attribute does not exist.
+    """
+    for _, value in stored.stored_values(instance):
+        if type(value) in BY_LIVE_CLASS:
+            read_stored_attributes(BY_LIVE_CLASS[type(value)], value)
+
+
+def has_stored_slots(stored: StoredClass) -> bool:
+    """Returns whether a class has a slot for each stored attribute; true for a class without slots."""
+    slots = attribute_names(object.__new__(stored.live_class))
+    return not slots or set(stored.fields.values()) <= slots
+
+
 def replay_here(names: list[str]) -> None:
     """Replays records with the imported router, and prints the differences by segment."""
     try:
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -3,6 +3,8 @@
 import asyncio
 import json
 import os
+import re
+import shutil
 import subprocess
 import sys
 import time
@@ -708,6 +710,20 @@
 }
 
 
+# The replayer of a version with a routing package.
+OWN_REPLAYER = """
+import sys
+import calicofall.recording
+
+def replay_here(names):
+    print("replayed by", __file__)
+    for name in names:
+        print("record", name)
+    print("recording", calicofall.recording.__file__)
+    sys.exit(5)
+"""
+
+
 def write_version(folder: Path, files: dict[str, str]) -> Path:
     """Writes the package of a version of the program and returns the folder."""
     for name, content in files.items():
@@ -754,6 +770,41 @@
     assert out.stderr.startswith("Error: that version is too old: ")
 
 
+@pytest.mark.parametrize(
+    ("module", "name"),
+    [
+        pytest.param("endpoint.py", "UNCONSTRAINED", id="import"),
+        pytest.param("router.py", "slot_clock_offset_ms", id="attribute of the router"),
+        pytest.param("request.py", "expires_at", id="slot of a request"),
+    ],
+)
+def test_replay_with_a_router_that_lacks_a_name_runs_the_own_replayer_of_that_version(
+    module: str, name: str, tmp_path: Path
+) -> None:
+    """This version's replayer cannot drive a router with other names.
+
+    It fails to import them, or it sets attributes that the router does not read, which raises no error.
+    """
+    version = tmp_path / "earlier"
+    shutil.copytree(ROOT / "calicofall", version / "calicofall", ignore=shutil.ignore_patterns("__pycache__"))
+    for file in (version / "calicofall" / "routing").glob("*.py"):
+        file.write_text(re.sub(rf"\b{name}\b", f"earlier_{name}", file.read_text()))
+    assert f"earlier_{name}" in (version / "calicofall" / "routing" / module).read_text()
+    write_version(version, {"cli/replay.py": OWN_REPLAYER})
+    file = tmp_path / "n.record"
+    file.write_bytes(record_simulated_fleet(seconds=5.0)[0]._segments[0])
+
+    out = replay_with(version, file)
+
+    assert out.stdout.splitlines() == [
+        f"replayed by {version / 'calicofall' / 'cli' / 'replay.py'}",
+        f"record {file}",
+        f"recording {version / 'calicofall' / 'recording' / '__init__.py'}",
+    ], out.stderr
+    assert out.stderr == ""
+    assert out.returncode == 5
+
+
 # Processes
 
 
