--- a/calicofall/cli/replay.py
+++ b/calicofall/cli/replay.py
@@ -12,41 +12,33 @@
 from calicofall.cli.record_files import MALFORMED, ExitCode, RecordCommandError, SegmentFile, open_segments
 from calicofall.config.settings import normalize_settings, settings_on_sockets, validate_settings
 from calicofall.recording.replayer import Replayer, ReplayMismatchError
-from calicofall.recording.state_schema import BY_LIVE_CLASS, ROUTER, STORED_CLASSES
-from calicofall.recording.stored_class import StoredClass, UnsupportedStateError, attribute_names
-from calicofall.routing.router import Router
 
 SHOWN_EVENT_LENGTH = 160  # characters
 # Settings that belong to the recorded proxy and are kept when other settings are used.
 OWN_SETTINGS = ("proxies", "me", "zone", "bears")
 
-# Exit code of REPLAY_TO_OTHER_ROUTER if that router lacks names that this version's replayer uses. It differs
-# from the exit codes of a replay.
-OTHER_NAMES = 10
+# Exit code of REPLAY_TO_OTHER_ROUTER if this version's replayer cannot be imported with the other version's
+# router. It differs from the exit codes of a replay.
+IMPORT_FAILED = 10
 # Replays records on the router of another version, with this version's replayer, as this version's replayer
 # can read the records. The packages `recording` and `cli` are this version's, all others are those of the
 # version in PYTHONPATH.
-REPLAY_TO_OTHER_ROUTER = (
-    f"OTHER_NAMES = {OTHER_NAMES}"
-    + """
+REPLAY_TO_OTHER_ROUTER = f"""
 import importlib.util, sys
 import calicofall
 for name in ("recording", "cli"):
-    folder = f"{sys.argv[1]}/{name}"
-    spec = importlib.util.spec_from_file_location(f"calicofall.{name}", folder + "/__init__.py",
+    folder = f"{{sys.argv[1]}}/{{name}}"
+    spec = importlib.util.spec_from_file_location(f"calicofall.{{name}}", folder + "/__init__.py",
                                                   submodule_search_locations=[folder])
     module = importlib.util.module_from_spec(spec)
-    sys.modules[f"calicofall.{name}"] = module
+    sys.modules[f"calicofall.{{name}}"] = module
     spec.loader.exec_module(module)
 try:
-    from calicofall.cli.replay import replay_here, router_has_names
+    from calicofall.cli.replay import replay_here
 except ImportError:
-    sys.exit(OTHER_NAMES)
-if not router_has_names(sys.argv[2]):
-    sys.exit(OTHER_NAMES)
+    sys.exit({IMPORT_FAILED})
 replay_here(sys.argv[2:])
 """
-)
 # Replays records with another version's own replayer, a function of one of its modules.
 REPLAY_WITH_OWN_REPLAYER = """
 import sys
@@ -57,7 +49,7 @@
 replay_records(sys.argv[2:])
 """
 OWN_REPLAYER = REPLAY_WITH_OWN_REPLAYER.format(module="calicofall.cli.replay", function="replay_here")
-# The replayer of versions whose router is in `facade.py`.
+# Versions whose router is in `facade.py` have other names throughout, so their own replayer is always used.
 FACADE_REPLAYER = REPLAY_WITH_OWN_REPLAYER.format(module="calicofall.recording.__main__", function="trial")
 
 
@@ -190,8 +182,8 @@
 def replay_to_version(folder: Path, names: Iterable[str]) -> int:
     """Replays records with another version of the program, in a separate process.
 
-    A version whose router lacks names that this version's replayer uses is replayed with its own replayer. It
-    runs in a new process, because modules of this version are already imported in the first one.
+    If this version's replayer cannot be imported with that version's router, that version's own replayer runs
+    in a new process, because the first process has already imported modules of this version.
 
     Args:
         folder: A checkout of that version.
@@ -214,7 +206,7 @@
         )
     paths = [str(segment.path.resolve()) for segment in open_segments(names)]
     code = run_script(script, folder, paths)
-    if script == REPLAY_TO_OTHER_ROUTER and code == OTHER_NAMES:
+    if script == REPLAY_TO_OTHER_ROUTER and code == IMPORT_FAILED:
         code = run_script(OWN_REPLAYER, folder, paths)
     return code
 
@@ -227,43 +219,6 @@
     return subprocess.run(command, env=environment, check=False, cwd=folder).returncode
 
 
-def router_has_names(name: str) -> bool:
-    """Returns whether the imported router has the attributes that this version's replayer reads and sets.
-
-    Setting an attribute that the router calls by another name may raise no error. The router would ignore the
-    value, and could make other decisions for that reason alone.
-
-    Args:
-        name: A record, whose settings the router is created with.
-    """
-    head = SegmentFile(Path(name)).head
-    try:
-        router = Router(head["deployment"], int(head["seed"]), head["now"])
-        read_stored_attributes(ROUTER, router)
-    except UnsupportedStateError:
-        return False
-    except MALFORMED:
-        return True  # the router does not accept the settings, which the replay reports
-    return hasattr(router, "origin_slots") and all(map(has_stored_slots, STORED_CLASSES))
-
-
-def read_stored_attributes(stored: StoredClass, instance: object) -> None:
-    """Reads all stored attributes of an object and of the objects that it holds directly.
-
-    Raises:
-        UnsupportedStateError: An attribute does not exist.
-    """
-    for _, value in stored.stored_values(instance):
-        if type(value) in BY_LIVE_CLASS:
-            read_stored_attributes(BY_LIVE_CLASS[type(value)], value)
-
-
-def has_stored_slots(stored: StoredClass) -> bool:
-    """Returns whether a class has a slot for each stored attribute; true for a class without slots."""
-    slots = attribute_names(object.__new__(stored.live_class))
-    return not slots or set(stored.fields.values()) <= slots
-
-
 def replay_here(names: list[str]) -> None:
     """Replays records with the imported router, and prints the differences by segment."""
     try:
