--- a/calicofall/testbed/agreement_simulation.py
+++ b/calicofall/testbed/agreement_simulation.py
@@ -145,7 +145,7 @@
         else:
             agreement_of(node).on_response(now, message)
 
-    def woken_first(self) -> None:
+    def on_resumed(self) -> None:
         """Checks what a proxy that was stopped would do before it has seen what came meanwhile."""
         self.check()
 
@@ -299,7 +299,7 @@
             self.simulation.publish(voters=changed if len(changed) >= MIN_VOTERS else voters)
 
 
-def walk(simulation: AgreementSimulation, seconds: float, calm: float = 12.0) -> None:
+def run_random_walk(simulation: AgreementSimulation, seconds: float, calm: float = 12.0) -> None:
     """Takes a simulation through random faults, then lets it agree.
 
     Args:
--- a/calicofall/testbed/emulated_servers.py
+++ b/calicofall/testbed/emulated_servers.py
@@ -29,96 +29,99 @@
 from calicofall.testbed.scenario import SMALL
 from calicofall.testbed.server_models import CacheModel, DiscoveryModel
 
-LOOPBACK = b"lo\0"
+LOOPBACK_DEVICE = b"lo\0"
 IP_PKTINFO = 8
-BEAT = 2.0  # s between two empty lines of a watch
+KEEPALIVE_INTERVAL_S = 2.0  # s between two empty lines of a watch
 
 
-def address(number: int) -> str:
+def proxy_address(number: int) -> str:
     """The loopback address under which proxy `number` sees the others: the stage tells by it who calls."""
     return f"127.{64 + number // 62_500}.{number // 250 % 250}.{number % 250 + 1}"
 
 
-def number_of(host: str) -> int | None:
+def proxy_number(host: str) -> int | None:
     first, second, third, fourth = map(int, host.split("."))
     return (second - 64) * 62_500 + third * 250 + fourth - 1 if first == 127 and second >= 64 else None
 
 
-def listener(kind: int) -> socket.socket:
+def loopback_socket(kind: int) -> socket.socket:
     """A socket on all loopback addresses and no others."""
-    plug = socket.socket(socket.AF_INET, kind)
-    plug.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    sock = socket.socket(socket.AF_INET, kind)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     with suppress(OSError):  # elsewhere who calls from outside is cut, as the number of an address tells
-        plug.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, LOOPBACK)
-    plug.bind(("0.0.0.0", 0))
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, LOOPBACK_DEVICE)
+    sock.bind(("0.0.0.0", 0))
     if kind == socket.SOCK_STREAM:
-        plug.listen(1024)
-    plug.setblocking(False)
-    return plug
+        sock.listen(1024)
+    sock.setblocking(False)
+    return sock
 
 
-class Stage(Protocol):
+class Runner(Protocol):
     """What wires need of the stage."""
 
     loop: asyncio.AbstractEventLoop
     links: LinkFaults
     records: History
-    wires: set["EmulatedConnection"]
+    connections: set["EmulatedConnection"]
 
 
 class LinkPipe:
     """One direction of a connection: what waits for the link, in order."""
 
     def __init__(
-        self, wire: "EmulatedConnection", hand: Callable[[float, bytes, Any], None], back: bool
+        self, connection: "EmulatedConnection", deliver: Callable[[float, bytes, Any], None], back: bool
     ) -> None:
-        self.wire, self.hand, self.back = wire, hand, back
+        self.connection, self.deliver, self.back = connection, deliver, back
         self.held: deque[tuple[float, bytes, Any]] = deque()
-        self.free, self.timer = 0.0, None
+        self.free_at, self.timer = 0.0, None
 
-    def take(self, at: float, data: bytes, note: Any = None) -> None:
-        link = self.wire.link()
+    def enqueue(self, at: float, data: bytes, note: Any = None) -> None:
+        link = self.connection.link()
         if link is HEALTHY_LINK and not self.held:
-            self.hand(at, data, note)
+            self.deliver(at, data, note)
         else:
             self.held.append((at, data, note))
-            self.pump()
+            self.deliver_due()
 
-    def due(self, link: LinkState) -> float:
+    def due_at(self, link: LinkState) -> float:
         at, data, _ = self.held[0]
-        return max(at + link.delay, self.free) + (len(data) / link.rate if link.rate else 0.0)
+        return max(at + link.delay, self.free_at) + (len(data) / link.rate if link.rate else 0.0)
 
-    def pump(self) -> None:
-        loop = self.wire.stage.loop
+    def deliver_due(self) -> None:
+        loop = self.connection.runner.loop
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        while self.held and not self.wire.over:
-            link = self.wire.link()
+        while self.held and not self.connection.closed:
+            link = self.connection.link()
             if link.cut_back if self.back else link.cut_to:
                 return
-            due = self.due(link)
-            if due > loop.time():
-                self.timer = loop.call_at(due, self.pump)
+            due_at = self.due_at(link)
+            if due_at > loop.time():
+                self.timer = loop.call_at(due_at, self.deliver_due)
                 return
-            self.free = due
-            self.hand(*self.held.popleft())
+            self.free_at = due_at
+            self.deliver(*self.held.popleft())
 
 
 class EmulatedConnection(asyncio.Protocol):
     """A connection that a proxy has opened to a stand-in."""
 
-    def __init__(self, stage: Stage, other: str) -> None:
-        self.stage, self.other, self.proxy, self.over = stage, other, "", False
-        self.inward, self.outward = LinkPipe(self, self.took, False), LinkPipe(self, self.wrote, True)
+    def __init__(self, runner: Runner, server_name: str) -> None:
+        self.runner, self.server_name, self.proxy, self.closed = runner, server_name, "", False
+        self.from_proxy, self.to_proxy = (
+            LinkPipe(self, self.bytes_received, False),
+            LinkPipe(self, self.write_bytes, True),
+        )
         self.transport: Any = None
 
     def link(self) -> LinkState:
-        return self.stage.links.of(self.proxy, self.other)
+        return self.runner.links.state_of(self.proxy, self.server_name)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
-        number = number_of(transport.get_extra_info("sockname")[0])
+        number = proxy_number(transport.get_extra_info("sockname")[0])
         if number is None:
             transport.abort()
             return
@@ -126,20 +129,20 @@
         if self.link().reset:
             transport.abort()
             return
-        self.stage.wires.add(self)
-        self.made()
+        self.runner.connections.add(self)
+        self.on_established()
 
     def data_received(self, data: bytes) -> None:
-        self.inward.take(self.stage.loop.time(), data)
+        self.from_proxy.enqueue(self.runner.loop.time(), data)
 
-    def say(self, data: bytes, note: Any = None) -> None:
-        self.outward.take(self.stage.loop.time(), data, note)
+    def send(self, data: bytes, note: Any = None) -> None:
+        self.to_proxy.enqueue(self.runner.loop.time(), data, note)
 
-    def wrote(self, _at: float, data: bytes, note: Any) -> None:
-        if not self.over and not self.transport.is_closing():
+    def write_bytes(self, _at: float, data: bytes, note: Any) -> None:
+        if not self.closed and not self.transport.is_closing():
             self.transport.write(data)
             if note is not None:
-                self.departed(note)
+                self.on_written(note)
 
     def eof_received(self) -> bool:
         """The proxy has shut it.
@@ -150,33 +153,33 @@
         return False
 
     def connection_lost(self, _reason: Exception | None) -> None:
-        if not self.over:
-            self.over = True
-            self.stage.wires.discard(self)
-            self.lost()
+        if not self.closed:
+            self.closed = True
+            self.runner.connections.discard(self)
+            self.on_closed()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
-    def changed(self) -> None:
+    def on_faults_changed(self) -> None:
         """The faults in force are others."""
         if self.link().reset:
-            self.cut()
+            self.abort()
         else:
-            self.inward.pump()
-            self.outward.pump()
+            self.from_proxy.deliver_due()
+            self.to_proxy.deliver_due()
 
-    def made(self) -> None:
+    def on_established(self) -> None:
         """The connection is up."""
 
-    def took(self, at: float, data: bytes, _note: Any) -> None:
+    def bytes_received(self, at: float, data: bytes, _note: Any) -> None:
         """Bytes that left the proxy at a time have come."""
 
-    def departed(self, note: Any) -> None:
+    def on_written(self, note: Any) -> None:
         """Bytes that were noted are handed to the system."""
 
-    def lost(self) -> None:
+    def on_closed(self) -> None:
         """The connection is over."""
 
 
@@ -184,289 +187,324 @@
     """A cache on its socket."""
 
     def __init__(
-        self, stage: Stage, name: str, model: CacheModel, sizes: Callable[[str], int], reports: bool
+        self,
+        runner: Runner,
+        name: str,
+        model: CacheModel,
+        value_size: Callable[[str], int],
+        sends_load_reports: bool,
     ) -> None:
-        self.stage, self.name, self.model, self.sizes, self.reports = stage, name, model, sizes, reports
-        self.plug = listener(socket.SOCK_STREAM)
-        self.port = self.plug.getsockname()[1]
+        self.runner, self.name, self.model, self.value_size, self.sends_load_reports = (
+            runner,
+            name,
+            model,
+            value_size,
+            sends_load_reports,
+        )
+        self.sock = loopback_socket(socket.SOCK_STREAM)
+        self.port = self.sock.getsockname()[1]
 
     async def open(self) -> None:
-        await self.stage.loop.create_server(lambda: CacheConnection(self.stage, self), sock=self.plug)
+        await self.runner.loop.create_server(lambda: CacheConnection(self.runner, self), sock=self.sock)
 
 
 class CacheConnection(EmulatedConnection):
-    def __init__(self, stage: Stage, stand: CacheEmulator) -> None:
-        super().__init__(stage, stand.name)
-        self.stand, self.ring, self.up_at = stand, RingBuffer(), None
-        self.parser = CommandParser(self.ring)
-        self.outs: dict[int, bytes | None] = {}  # places of sends that are out, in order; their replies
-
-    def made(self) -> None:
-        now = self.stage.loop.time()
-        self.up_at = self.stand.model.handshake(now)
-        if self.up_at is None:
-            self.cut()
+    def __init__(self, runner: Runner, emulator: CacheEmulator) -> None:
+        super().__init__(runner, emulator.name)
+        self.emulator, self.receive_buffer, self.established_at = emulator, RingBuffer(), None
+        self.parser = CommandParser(self.receive_buffer)
+        self.replies_by_send: dict[
+            int, bytes | None
+        ] = {}  # places of sends that are out, in order; their replies
+
+    def on_established(self) -> None:
+        now = self.runner.loop.time()
+        self.established_at = self.emulator.model.handshake(now)
+        if self.established_at is None:
+            self.abort()
         else:
-            self.stage.records.hands.append(UpstreamConnectionEvent(now, self.proxy, self.other, True))
+            self.runner.records.hands.append(UpstreamConnectionEvent(now, self.proxy, self.server_name, True))
 
-    def took(self, at: float, data: bytes, _note: Any) -> None:
-        self.ring.write(data)
+    def bytes_received(self, at: float, data: bytes, _note: Any) -> None:
+        self.receive_buffer.write(data)
         try:
-            while not self.over and (command := self.parser.read()) is not resp.INCOMPLETE:
+            while not self.closed and (command := self.parser.read()) is not resp.INCOMPLETE:
                 self.command(at, command)
         except (resp.ProtocolError, KeyError, ValueError, IndexError, TypeError):
-            self.cut()
+            self.abort()
 
     def command(self, at: float, parts: list[bytes]) -> None:
-        now, records = self.stage.loop.time(), self.stage.records
-        pairs = dict(pair.split(b"=", 1) for pair in parts[3].split(b","))
-        name, method, mark = parts[2].decode(), pairs[b"c"].decode(), pairs.get(b"k", b"").decode()
-        place, write = len(records.sends), parts[0] == b"C.SET"
+        now, records = self.runner.loop.time(), self.runner.records
+        arguments = dict(pair.split(b"=", 1) for pair in parts[3].split(b","))
+        name, method, idempotency_key = (
+            parts[2].decode(),
+            arguments[b"c"].decode(),
+            arguments.get(b"k", b"").decode(),
+        )
+        send_index, write = len(records.sends), parts[0] == b"C.SET"
         key = parts[1].decode()
         records.sends.append(
-            UpstreamSend(at, self.proxy, self.other, name, method, mark, float(pairs[b"d"]), key)
+            UpstreamSend(
+                at, self.proxy, self.server_name, name, method, idempotency_key, float(arguments[b"d"]), key
+            )
         )
-        self.outs[place] = None
-        begins = max(now, self.up_at)
-        size = self.stand.sizes(key)
-        answer = self.stand.model.command(begins, key, write, size > SMALL)
-        if not answer.ran:
-            self.reply(place, b"-BUSY\r\n")
+        self.replies_by_send[send_index] = None
+        begins = max(now, self.established_at)
+        size = self.emulator.value_size(key)
+        answer = self.emulator.model.command(begins, key, write, size > SMALL)
+        if not answer.executed:
+            self.reply(send_index, b"-BUSY\r\n")
             return
-        records.runs.append(ServerExecution(begins, self.other, name, method, mark))
+        records.runs.append(ServerExecution(begins, self.server_name, name, method, idempotency_key))
         value = b"of " + parts[2]
         value += b"." * (0 if write else size - len(value))
-        note = b"$%d\r\n%b\r\n" % (len(answer.note), answer.note.encode()) if answer.note else b"$-1\r\n"
-        report = self.stand.model.report(now) if self.stand.reports else None
+        note = (
+            b"$%d\r\n%b\r\n" % (len(answer.cache_status), answer.cache_status.encode())
+            if answer.cache_status
+            else b"$-1\r\n"
+        )
+        report = self.emulator.model.report(now) if self.emulator.sends_load_reports else None
         load = b"$%d\r\n%b\r\n" % (len(report), report) if report else b"$-1\r\n"
         data = b"*3\r\n$%d\r\n%b\r\n%b%b" % (len(value), value, note, load)
-        self.stage.loop.call_at(answer.at, self.reply, place, data)
+        self.runner.loop.call_at(answer.at, self.reply, send_index, data)
 
-    def reply(self, place: int, data: bytes) -> None:
+    def reply(self, send_index: int, data: bytes) -> None:
         """Replies go out in the order of the commands."""
-        if self.over:
+        if self.closed:
             return
-        self.outs[place] = data
-        for first, held in list(self.outs.items()):
+        self.replies_by_send[send_index] = data
+        for first, held in list(self.replies_by_send.items()):
             if held is None:
                 return
             if held:
-                self.outs[first] = b""  # on its way
-                self.say(held, first + 1)
+                self.replies_by_send[first] = b""  # on its way
+                self.send(held, first + 1)
 
-    def departed(self, note: int) -> None:
-        self.outs.pop(note - 1, None)
-        self.stage.records.outs[note - 1] = self.stage.loop.time()
+    def on_written(self, note: int) -> None:
+        self.replies_by_send.pop(note - 1, None)
+        self.runner.records.outs[note - 1] = self.runner.loop.time()
 
-    def lost(self) -> None:
-        now = self.stage.loop.time()
-        for place in self.outs:
-            self.stage.records.outs[place] = now
-        if self.up_at is not None:
-            self.stand.model.ended()
-            self.stage.records.hands.append(UpstreamConnectionEvent(now, self.proxy, self.other, False))
+    def on_closed(self) -> None:
+        now = self.runner.loop.time()
+        for send_index in self.replies_by_send:
+            self.runner.records.outs[send_index] = now
+        if self.established_at is not None:
+            self.emulator.model.ended()
+            self.runner.records.hands.append(
+                UpstreamConnectionEvent(now, self.proxy, self.server_name, False)
+            )
 
 
 class DiscoveryEmulator:
     """The list service on its socket, under an address for each proxy."""
 
-    def __init__(self, stage: Stage, model: DiscoveryModel, ports: Callable[[], dict[str, int]]) -> None:
-        self.stage, self.model, self.ports = stage, model, ports
-        self.plug = listener(socket.SOCK_STREAM)
-        self.port = self.plug.getsockname()[1]
+    def __init__(
+        self, runner: Runner, model: DiscoveryModel, cache_ports: Callable[[], dict[str, int]]
+    ) -> None:
+        self.runner, self.model, self.cache_ports = runner, model, cache_ports
+        self.sock = loopback_socket(socket.SOCK_STREAM)
+        self.port = self.sock.getsockname()[1]
         self.watches: set[DiscoveryConnection] = set()
         self.documents: list[dict] = []  # of the settings, by version
         self.down = self.silent = False
-        self.agents, self.slow = False, 0.0  # an agent a proxy; s that a watch takes to begin
-        self.beat()
+        self.has_agents, self.watch_delay_s = False, 0.0  # an agent a proxy; s that a watch takes to begin
+        self.send_keepalives()
 
     async def open(self) -> None:
-        await self.stage.loop.create_server(lambda: DiscoveryConnection(self.stage, self), sock=self.plug)
+        await self.runner.loop.create_server(lambda: DiscoveryConnection(self.runner, self), sock=self.sock)
 
-    def beat(self) -> None:
+    def send_keepalives(self) -> None:
         """An empty line to every watch while nothing changes."""
         if not self.silent:
             for watch in self.watches:
-                watch.line(b"\n", None)  # also on those on settings
-        self.stage.loop.call_later(BEAT, self.beat)
-
-    def listing(self, proxy: str, message: dict) -> bytes:
-        host, ports = address(int(proxy[1:])), self.ports()
-        entries = [entry | {"address": f"{host}:{ports[entry['name']]}"} for entry in message["endpoints"]]
+                watch.send_chunk(b"\n", None)  # also on those on settings
+        self.runner.loop.call_later(KEEPALIVE_INTERVAL_S, self.send_keepalives)
+
+    def encode_list_event(self, proxy: str, message: dict) -> bytes:
+        host, cache_ports = proxy_address(int(proxy[1:])), self.cache_ports()
+        entries = [
+            entry | {"address": f"{host}:{cache_ports[entry['name']]}"} for entry in message["endpoints"]
+        ]
         return orjson.dumps(message | {"endpoints": entries}) + b"\n"
 
-    def change(self, *entries: dict) -> None:
+    def publish_entries(self, *entries: dict) -> None:
         """What becomes of caches, told to all watches at once, or late."""
         message = {"endpoints": list(entries), "snapshot": False}
         for entry in entries:
             message["index"] = self.model.put(entry)
-        self.stage.loop.call_later(self.model.late, self.tell, message)
+        self.runner.loop.call_later(self.model.event_delay_s, self.broadcast_list_event, message)
 
-    def tell(self, message: dict) -> None:
-        for watch in [watch for watch in self.watches if not watch.settings]:
-            watch.news(message)
+    def broadcast_list_event(self, message: dict) -> None:
+        for watch in [watch for watch in self.watches if not watch.watches_settings]:
+            watch.send_list_event(message)
 
-    def publish(self, one: dict) -> None:
-        self.documents.append(one)
-        for watch in [watch for watch in self.watches if watch.settings]:
-            watch.document(one)
+    def publish_document(self, document: dict) -> None:
+        self.documents.append(document)
+        for watch in [watch for watch in self.watches if watch.watches_settings]:
+            watch.send_document(document)
 
-    def hand_on(self, one: dict) -> None:
+    def hand_out_canary(self, document: dict) -> None:
         """A document to be tried: told to the watches that are open, and kept nowhere."""
-        for watch in [watch for watch in self.watches if watch.settings]:
-            watch.line(orjson.dumps(one) + b"\n", None)
+        for watch in [watch for watch in self.watches if watch.watches_settings]:
+            watch.send_chunk(orjson.dumps(document) + b"\n", None)
 
-    def fall(self) -> None:
-        if self.agents:  # they live on, and have nothing to say
+    def go_down(self) -> None:
+        if self.has_agents:  # they live on, and have nothing to say
             self.silent = True
             return
         self.down = True
-        for wire in [wire for wire in self.stage.wires if wire.other == "list"]:
-            wire.cut()
+        for connection in [
+            connection for connection in self.runner.connections if connection.server_name == "list"
+        ]:
+            connection.abort()
 
-    def speak(self) -> None:
+    def end_silence(self) -> None:
         """Silence is over: who waits is heard."""
         self.silent = False
-        for wire in [wire for wire in self.stage.wires if isinstance(wire, DiscoveryConnection)]:
-            wire.heed()
+        for connection in [
+            connection
+            for connection in self.runner.connections
+            if isinstance(connection, DiscoveryConnection)
+        ]:
+            connection.proceed()
 
 
 class DiscoveryConnection(EmulatedConnection):
-    def __init__(self, stage: Stage, stand: DiscoveryEmulator) -> None:
-        super().__init__(stage, "list")
-        self.stand, self.head, self.wants, self.begun = stand, b"", None, False
-        self.settings = False  # a watch on the settings, not on the list
-        self.kept: list[dict] = []  # news while the service is silent
-
-    def made(self) -> None:
-        if self.stand.down:
-            self.cut()
-
-    def took(self, at: float, data: bytes, _note: Any) -> None:
-        self.head += data
-        if self.head.startswith(b"POST"):
-            self.posted()
-        elif b"\r\n\r\n" in self.head and self.wants is None:
-            path = self.head.split(b" ")[1].decode()
+    def __init__(self, runner: Runner, emulator: DiscoveryEmulator) -> None:
+        super().__init__(runner, "list")
+        self.emulator, self.received, self.from_version, self.watch_begun = emulator, b"", None, False
+        self.watches_settings = False  # a watch on the settings, not on the list
+        self.withheld: list[dict] = []  # news while the service is silent
+
+    def on_established(self) -> None:
+        if self.emulator.down:
+            self.abort()
+
+    def bytes_received(self, at: float, data: bytes, _note: Any) -> None:
+        self.received += data
+        if self.received.startswith(b"POST"):
+            self.handle_post()
+        elif b"\r\n\r\n" in self.received and self.from_version is None:
+            path = self.received.split(b" ")[1].decode()
             since = path.partition("since=")[2].partition("&")[0]
-            self.settings = path.startswith("/api/settings")
-            self.wants = int(since) if since.isdigit() else -1
-            if not self.settings:
-                self.stage.records.asked.append(DiscoveryCall(at, self.proxy, "asked"))
-            self.heed()
+            self.watches_settings = path.startswith("/api/settings")
+            self.from_version = int(since) if since.isdigit() else -1
+            if not self.watches_settings:
+                self.runner.records.asked.append(DiscoveryCall(at, self.proxy, "asked"))
+            self.proceed()
 
-    def posted(self) -> None:
+    def handle_post(self) -> None:
         """A document is published: the one that follows the latest is taken."""
-        head, ended, body = self.head.partition(b"\r\n\r\n")
-        size = int(head.lower().partition(b"content-length:")[2].split(b"\r\n")[0] or 0)
+        received, ended, body = self.received.partition(b"\r\n\r\n")
+        size = int(received.lower().partition(b"content-length:")[2].split(b"\r\n")[0] or 0)
         if ended and len(body) >= size:
-            one, latest = orjson.loads(body), self.stand.documents[-1:]
-            taken = one["after"] == (latest[0]["version"] if latest else 0) and not self.stand.silent
-            if taken and self.head.split(b" ")[1].endswith(b"/trial"):
-                self.stand.hand_on(one)
+            document, latest = orjson.loads(body), self.emulator.documents[-1:]
+            taken = document["after"] == (latest[0]["version"] if latest else 0) and not self.emulator.silent
+            if taken and self.received.split(b" ")[1].endswith(b"/trial"):
+                self.emulator.hand_out_canary(document)
             elif taken:
-                self.stand.publish(one)
-            said = b"200 OK" if taken else b"409 Conflict"
-            self.say(b"HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n" % said)
+                self.emulator.publish_document(document)
+            status_line = b"200 OK" if taken else b"409 Conflict"
+            self.send(b"HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n" % status_line)
             self.transport.close()
 
-    def heed(self) -> None:
-        if self.stand.silent or self.over or self.wants is None:
+    def proceed(self) -> None:
+        if self.emulator.silent or self.closed or self.from_version is None:
             return
-        if self.begun:
-            for message in self.kept:
-                self.news(message)
-            self.kept.clear()
+        if self.watch_begun:
+            for message in self.withheld:
+                self.send_list_event(message)
+            self.withheld.clear()
             return
-        now = self.stage.loop.time()
-        if self.settings or self.stand.agents:
-            self.begun = True
-            self.begin()
+        now = self.runner.loop.time()
+        if self.watches_settings or self.emulator.has_agents:
+            self.watch_begun = True
+            self.begin_watch()
             return
-        begins = self.stand.model.ask(now)
+        begins = self.emulator.model.request_watch(now)
         if begins is None:
-            self.stage.records.asked.append(DiscoveryCall(now, self.proxy, "refused"))
-            after = self.stand.model.after
-            said = b"Retry-After: %d\r\n" % after if after is not None else b""
-            self.say(b"HTTP/1.1 503 No Room\r\n%bContent-Length: 0\r\n\r\n" % said)
+            self.runner.records.asked.append(DiscoveryCall(now, self.proxy, "refused"))
+            after = self.emulator.model.retry_after_s
+            status_line = b"Retry-After: %d\r\n" % after if after is not None else b""
+            self.send(b"HTTP/1.1 503 No Room\r\n%bContent-Length: 0\r\n\r\n" % status_line)
             self.transport.close()
         else:
-            self.begun = True
-            self.stage.loop.call_at(begins + self.stand.slow, self.begin)
+            self.watch_begun = True
+            self.runner.loop.call_at(begins + self.emulator.watch_delay_s, self.begin_watch)
 
-    def begin(self) -> None:
-        if self.over:
+    def begin_watch(self) -> None:
+        if self.closed:
             return
-        if not self.settings:
-            self.stage.records.asked.append(DiscoveryCall(self.stage.loop.time(), self.proxy, "begun"))
-        self.say(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self.stand.watches.add(self)
-        if self.settings:
-            for one in self.stand.documents:
-                if one["version"] > self.wants:
-                    self.document(one)
+        if not self.watches_settings:
+            self.runner.records.asked.append(DiscoveryCall(self.runner.loop.time(), self.proxy, "begun"))
+        self.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        self.emulator.watches.add(self)
+        if self.watches_settings:
+            for document in self.emulator.documents:
+                if document["version"] > self.from_version:
+                    self.send_document(document)
             return
-        self.news(self.stand.model.since(self.wants if self.wants >= 0 else None))
+        self.send_list_event(self.emulator.model.since(self.from_version if self.from_version >= 0 else None))
 
-    def news(self, message: dict) -> None:
-        if self.stand.silent:
-            self.kept.append(message)
+    def send_list_event(self, message: dict) -> None:
+        if self.emulator.silent:
+            self.withheld.append(message)
             return
-        told = tuple((entry["name"], entry["status"]) for entry in message["endpoints"])
-        self.line(self.stand.listing(self.proxy, message), (told, message["snapshot"]))
+        states = tuple((entry["name"], entry["status"]) for entry in message["endpoints"])
+        self.send_chunk(self.emulator.encode_list_event(self.proxy, message), (states, message["snapshot"]))
 
-    def document(self, one: dict) -> None:
-        self.line(orjson.dumps(one) + b"\n", one["version"])
+    def send_document(self, document: dict) -> None:
+        self.send_chunk(orjson.dumps(document) + b"\n", document["version"])
 
-    def line(self, data: bytes, note: Any) -> None:
-        self.say(b"%x\r\n%b\r\n" % (len(data), data), note)
+    def send_chunk(self, data: bytes, note: Any) -> None:
+        self.send(b"%x\r\n%b\r\n" % (len(data), data), note)
 
-    def departed(self, note: tuple | int) -> None:
+    def on_written(self, note: tuple | int) -> None:
         if isinstance(note, int):
-            self.stage.records.documents.append((self.stage.loop.time(), self.proxy, note))
+            self.runner.records.documents.append((self.runner.loop.time(), self.proxy, note))
             return
-        self.stage.records.told.append(ListEvent(self.stage.loop.time(), self.proxy, *note))
+        self.runner.records.told.append(ListEvent(self.runner.loop.time(), self.proxy, *note))
 
-    def lost(self) -> None:
-        self.stand.watches.discard(self)
-        if self.begun and not self.settings and not self.stand.agents:
-            self.stand.model.ended()
+    def on_closed(self) -> None:
+        self.emulator.watches.discard(self)
+        if self.watch_begun and not self.watches_settings and not self.emulator.has_agents:
+            self.emulator.model.ended()
 
 
 class DatagramRelay:
     """Datagrams between proxies: each sends to the stage, which hands them on over the pair's link."""
 
-    def __init__(self, stage: Stage, number: int, to: Callable[[int], tuple["DatagramRelay", int]]) -> None:
-        self.stage, self.number, self.to = stage, number, to
-        self.plug = listener(socket.SOCK_DGRAM)
-        self.plug.setsockopt(socket.IPPROTO_IP, IP_PKTINFO, 1)
-        self.port = self.plug.getsockname()[1]
-        stage.loop.add_reader(self.plug.fileno(), self.come)
+    def __init__(self, runner: Runner, number: int, to: Callable[[int], tuple["DatagramRelay", int]]) -> None:
+        self.runner, self.number, self.to = runner, number, to
+        self.sock = loopback_socket(socket.SOCK_DGRAM)
+        self.sock.setsockopt(socket.IPPROTO_IP, IP_PKTINFO, 1)
+        self.port = self.sock.getsockname()[1]
+        runner.loop.add_reader(self.sock.fileno(), self.receive_datagrams)
 
-    def come(self) -> None:
+    def receive_datagrams(self) -> None:
         for _ in range(32):
             try:
-                data, notes, _, _ = self.plug.recvmsg(2048, 64)
+                data, notes, _, _ = self.sock.recvmsg(2048, 64)
             except OSError:
                 return
             for _, kind, info in notes:
-                peer = number_of(socket.inet_ntoa(info[8:12])) if kind == IP_PKTINFO else None
+                peer = proxy_number(socket.inet_ntoa(info[8:12])) if kind == IP_PKTINFO else None
                 if peer is not None:
-                    self.pass_on(peer, data)
+                    self.forward(peer, data)
 
-    def pass_on(self, peer: int, data: bytes) -> None:
-        links = self.stage.links
-        self.stage.records.datagrams.append((self.stage.loop.time(), len(data)))
-        link = links.of(f"p{self.number}", f"p{peer}")
-        if not links.lost(link):
-            self.stage.loop.call_later(link.delay, self.hand, peer, data)
+    def forward(self, peer: int, data: bytes) -> None:
+        links = self.runner.links
+        self.runner.records.datagrams.append((self.runner.loop.time(), len(data)))
+        link = links.state_of(f"p{self.number}", f"p{peer}")
+        if not links.loses_datagram(link):
+            self.runner.loop.call_later(link.delay, self.deliver, peer, data)
 
-    def hand(self, peer: int, data: bytes) -> None:
+    def deliver(self, peer: int, data: bytes) -> None:
         relay, port = self.to(peer)
-        info = struct.pack("I4s4s", 0, socket.inet_aton(address(self.number)), bytes(4))
+        info = struct.pack("I4s4s", 0, socket.inet_aton(proxy_address(self.number)), bytes(4))
         with suppress(OSError):
-            relay.plug.sendmsg([data], [(socket.IPPROTO_IP, IP_PKTINFO, info)], 0, ("127.0.0.1", port))
+            relay.sock.sendmsg([data], [(socket.IPPROTO_IP, IP_PKTINFO, info)], 0, ("127.0.0.1", port))
 
     def close(self) -> None:
-        self.stage.loop.remove_reader(self.plug.fileno())
-        self.plug.close()
+        self.runner.loop.remove_reader(self.sock.fileno())
+        self.sock.close()
--- a/calicofall/testbed/network_faults.py
+++ b/calicofall/testbed/network_faults.py
@@ -39,8 +39,8 @@
         changes: Fields of LinkState and their values while the fault is in force.
     """
 
-    ours: frozenset[str]
-    theirs: frozenset[str]
+    near_side: frozenset[str]
+    far_side: frozenset[str]
     changes: dict[str, Any] = field(hash=False)
 
 
@@ -54,25 +54,27 @@
     def __init__(self, seed: int) -> None:
         self.random_generator = Random(seed)
         self.faults: list[LinkFault] = []
-        self.seen: dict[tuple[str, str], LinkState] = {}  # states looked up since the last change
-        self.since: dict[int, float] = {}  # by identity of a fault in force
-        self.spans: list[tuple[float, float, str]] = []
+        self.cached_states: dict[tuple[str, str], LinkState] = {}  # states looked up since the last change
+        self.began_at: dict[int, float] = {}  # by identity of a fault in force
+        self.ended_faults: list[tuple[float, float, str]] = []
 
-    def of(self, proxy: str, other: str) -> LinkState:
+    def state_of(self, proxy: str, other: str) -> LinkState:
         """Return the state of the link between a proxy and another process."""
-        link = self.seen.get((proxy, other))
+        link = self.cached_states.get((proxy, other))
         if link is None:
             link = self._combined(proxy, other)
-            self.seen[proxy, other] = link
+            self.cached_states[proxy, other] = link
         return link
 
     def _combined(self, proxy: str, other: str) -> LinkState:
         """Apply all faults in force to a healthy link, a later one over an earlier one."""
         link = HEALTHY_LINK
         for fault in self.faults:
-            if proxy in fault.ours and other in fault.theirs:
+            if proxy in fault.near_side and other in fault.far_side:
                 link = replace(link, **fault.changes)
-            elif other in fault.ours and proxy in fault.theirs:  # two proxies, seen from the other side
+            elif (
+                other in fault.near_side and proxy in fault.far_side
+            ):  # two proxies, seen from the other side
                 mirrored = {
                     OPPOSITE_DIRECTION.get(name, name): value for name, value in fault.changes.items()
                 }
@@ -82,8 +84,8 @@
     def begin(self, now: float, fault: LinkFault) -> None:
         """Put a fault in force at `now` (s)."""
         self.faults.append(fault)
-        self.since[id(fault)] = now
-        self.seen.clear()
+        self.began_at[id(fault)] = now
+        self.cached_states.clear()
 
     def end(self, now: float, fault: LinkFault) -> None:
         """Lift a fault at `now` (s).
@@ -92,9 +94,9 @@
             ValueError: The fault is not in force.
         """
         self.faults.remove(fault)
-        self.spans.append((self.since.pop(id(fault)), now, ",".join(sorted(fault.changes))))
-        self.seen.clear()
+        self.ended_faults.append((self.began_at.pop(id(fault)), now, ",".join(sorted(fault.changes))))
+        self.cached_states.clear()
 
-    def lost(self, link: LinkState) -> bool:
+    def loses_datagram(self, link: LinkState) -> bool:
         """Return whether a datagram on this link is lost; draws a random number where the link has a loss."""
         return link.cut_to or link.reset or (link.loss > 0.0 and self.random_generator.random() < link.loss)
--- a/calicofall/testbed/quota_simulation.py
+++ b/calicofall/testbed/quota_simulation.py
@@ -29,7 +29,7 @@
         self.make = make
         self.lease = lease
         self.drift = drift
-        self.wants = [0] * fleet
+        self.demands = [0] * fleet
         self.peak_units = 0  # the most units that all together might use at one time
         self.observations = 0
         for node in self.fleet:
@@ -45,7 +45,7 @@
 
     def demand_units(self, node: SimulatedNode) -> int:
         """How many units of the limit a node could use."""
-        return self.wants[node.me]
+        return self.demands[node.me]
 
     def tick_node(self, node: SimulatedNode) -> tuple[list[tuple[int, QuotaLeaseMessage]], float]:
         """Tells an instance the demand, and calls it."""
@@ -61,7 +61,7 @@
         if answer is not None:
             self.send(node.me, message.sender, answer)
 
-    def woken_first(self) -> None:
+    def on_resumed(self) -> None:
         """A node that was resumed may use units before it has seen what came meanwhile."""
         self.observe()
 
@@ -85,17 +85,17 @@
         self.peak_units = max(self.peak_units, sum(self.usable_units().values()))
 
     @property
-    def over(self) -> float:
+    def peak_excess_fraction(self) -> float:
         """By which fraction the limit was exceeded at most; 0: never."""
         return max(0.0, self.peak_units / UNITS - 1.0)
 
     @property
-    def unused(self) -> float:
+    def unusable_demand_fraction(self) -> float:
         """The fraction of the demand (or of the limit, where that is less) that can't be used."""
-        if not any(self.wants):
+        if not any(self.demands):
             return 0.0
-        used = sum(min(units, self.wants[me]) for me, units in self.usable_units().items())
-        return 1.0 - used / min(UNITS, sum(self.wants))
+        used = sum(min(units, self.demands[me]) for me, units in self.usable_units().items())
+        return 1.0 - used / min(UNITS, sum(self.demands))
 
 
 def run_random_faults(simulation: QuotaSimulation, seconds: float) -> None:
@@ -112,7 +112,7 @@
         elif kind == 3:
             simulation.stop(me, duration_s)
         elif kind == 4:
-            simulation.rise(me)
+            simulation.restart_killed(me)
         elif kind == 5:
             simulation.isolate(me, random_generator.choice(["in", "out", "both"]), duration_s)
         elif kind == 6:
@@ -122,7 +122,7 @@
         elif me not in simulation.dead and len(simulation.dead) < count // 3:
             simulation.kill({me})
         elif simulation.dead:
-            simulation.rise(min(simulation.dead))
+            simulation.restart_killed(min(simulation.dead))
 
 
 def _change_demand(simulation: QuotaSimulation) -> None:
@@ -131,4 +131,4 @@
     count = len(simulation.fleet)
     demanding = random_generator.sample(range(count), random_generator.randint(1, count))
     total = random_generator.choice([0, UNITS // 2, UNITS, 5 * UNITS])
-    simulation.wants = [total // len(demanding) if me in demanding else 0 for me in range(count)]
+    simulation.demands = [total // len(demanding) if me in demanding else 0 for me in range(count)]
--- a/calicofall/testbed/rate_slot_simulation.py
+++ b/calicofall/testbed/rate_slot_simulation.py
@@ -22,9 +22,9 @@
 RETURN_DELAY_S = 0.02  # from the use of a slot to the news that it wasn't needed
 
 
-def slot_index(grid: TimeSlots, slot_at: float) -> int:
+def slot_index(time_slots: TimeSlots, slot_at: float) -> int:
     """The number of a slot among all slots of the fleet, by the common clock."""
-    return round((slot_at - grid.created_at_s + grid.created_at_wall_s) / grid.gap_s)
+    return round((slot_at - time_slots.created_at_s + time_slots.created_at_wall_s) / time_slots.gap_s)
 
 
 class RateSlotSimulation(QuotaSimulation):
@@ -39,13 +39,13 @@
         fleet: int,
         seed: int,
         make: Callable[..., RateSlots] = RateSlots,
-        room: float = 50.0,
+        slots_per_s: float = 50.0,
         skew: float = 0.0,
         **links: float,
     ) -> None:
-        self.room = room
+        self.slots_per_s = slots_per_s
         self.skew = skew
-        self.time_slots: dict[int, TimeSlots] = {}  # by node
+        self.time_slots_by_node: dict[int, TimeSlots] = {}  # by node
         self.taken_at: list[float] = []
         self.takers_by_slot: Counter[int] = Counter()
         super().__init__(fleet, seed, make, drift=0.0, **links)
@@ -55,14 +55,16 @@
         instance = super().build(node, incarnation, random_generator)
         assert isinstance(instance, RateSlots)
         wall = self.now + WALL_CLOCK_OFFSET_S + self.skew * self.random_generator.random()
-        self.time_slots[node.me] = TimeSlots(node.me, len(self.fleet), self.room, node.clock(self.now), wall)
+        self.time_slots_by_node[node.me] = TimeSlots(
+            node.me, len(self.fleet), self.slots_per_s, node.clock(self.now), wall
+        )
         self.at(self.now, self.take_slots, node, node.incarnation)
         return instance
 
     def demand_units(self, node: SimulatedNode) -> int:
         """How many slots of a round a node could use."""
         instance: RateSlots = node.instance
-        return self.wants[node.me] * instance.total // UNITS
+        return self.demands[node.me] * instance.total // UNITS
 
     def take_slots(self, node: SimulatedNode, incarnation: int, slot_at: float | None = None) -> None:
         """Uses the slot whose moment has come, if it still may be used, and waits for the next one."""
@@ -70,12 +72,12 @@
             return
         instance: RateSlots = node.instance
         now = node.clock(self.now)
-        grid = self.time_slots[node.me]
-        if slot_at is not None and self.wants[node.me] and instance.may_use(grid, slot_at, now):
+        time_slots = self.time_slots_by_node[node.me]
+        if slot_at is not None and self.demands[node.me] and instance.may_use(time_slots, slot_at, now):
             self.taken_at.append(self.now)
-            self.takers_by_slot[slot_index(grid, slot_at)] += 1
+            self.takers_by_slot[slot_index(time_slots, slot_at)] += 1
         next_slot_at = instance.next_slot_at(
-            grid, now, now if slot_at is None else max(now, slot_at + grid.gap_s / 2.0)
+            time_slots, now, now if slot_at is None else max(now, slot_at + time_slots.gap_s / 2.0)
         )
         wait_s = max(0.0, next_slot_at - now) + SHORTEST_WAIT_S
         self.at(self.now + wait_s, self.take_slots, node, incarnation, next_slot_at)
@@ -90,7 +92,7 @@
         return sum(count > 1 for count in self.takers_by_slot.values())
 
     @property
-    def peak(self) -> int:
+    def peak_slots_per_s(self) -> int:
         """The most slots that were used within a second."""
         return most_in_span(self.taken_at)[0]
 
@@ -106,8 +108,8 @@
     def build(self, node: SimulatedNode, incarnation: int, random_generator: Random) -> RateSlots:
         """A new instance for a node, with its slots at the origin."""
         instance = super().build(node, incarnation, random_generator)
-        origin_slots = OriginFetchSlots(instance, self.room, node.clock(self.now), 0.0)
-        origin_slots.time_slots = self.time_slots[node.me]
+        origin_slots = OriginFetchSlots(instance, self.slots_per_s, node.clock(self.now), 0.0)
+        origin_slots.time_slots = self.time_slots_by_node[node.me]
         self.origin_slots[node.me] = origin_slots
         return instance
 
@@ -117,7 +119,7 @@
             return
         now = node.clock(self.now)
         origin_slots = self.origin_slots[node.me]
-        while self.wants[node.me] and origin_slots.due_at(now) <= now:
+        while self.demands[node.me] and origin_slots.due_at(now) <= now:
             slot_at = origin_slots.take(now)
             if self.random_generator.random() < self.returned_fraction:
                 self.at(self.now + RETURN_DELAY_S, self.return_slot, node, incarnation, slot_at)
--- a/calicofall/testbed/routing_simulation.py
+++ b/calicofall/testbed/routing_simulation.py
@@ -73,7 +73,7 @@
         self.random_generator = Random(seed)
         self.now = 0.0
         self.events: list[tuple[float, int, Callable[..., Any], tuple[Any, ...]]] = []  # heap
-        self.count = count()
+        self.sequence = count()
         self.origin = origin
         self.per_s = per_s
         self.max_retries = max_retries
@@ -93,19 +93,21 @@
         self.cumulative_key_weights = list(accumulate(1.0 / (rank + 1) ** skew for rank in range(keys)))
         self.cumulative_proxy_weights = list(accumulate(weights or [1.0] * self.fleet))
         self.methods = {method["name"]: method for method in deployment["methods"]}
-        self.resting: dict[tuple[int, str], list[float]] = defaultdict(list)  # since when each is idle (ms)
-        self.opened = 0  # connections
-        self.wishes = 0
+        self.idle_since: dict[tuple[int, str], list[float]] = defaultdict(
+            list
+        )  # since when each is idle (ms)
+        self.opened_connections = 0  # connections
+        self.request_count = 0
         self.in_time = 0
         self.late = 0
         self.lost: Counter[str] = Counter()
         self.outcomes: Counter[str] = Counter()
-        self.avoided: list[tuple[float, int, str]] = []
-        self.at(self._gap(), self.want)
+        self.ejections: list[tuple[float, int, str]] = []
+        self.at(self._gap(), self.begin_client_request)
 
     def at(self, when: float, what: Callable[..., Any], *values: Any) -> None:
         """Call `what` with the values at a moment (ms)."""
-        heappush(self.events, (when, next(self.count), what, values))
+        heappush(self.events, (when, next(self.sequence), what, values))
 
     def run(self, until: float) -> None:
         """Run to a moment (ms)."""
@@ -124,48 +126,48 @@
         router.on_endpoint_list(self.now, "full", 1, self.entries)
         return router
 
-    def renew(self, number: int) -> None:
+    def restart_proxy(self, number: int) -> None:
         """Restart a proxy: its requests in flight are abandoned and its connections closed."""
         before = self.routers[number]
         for request in before.active_requests.values():
             request.finished = True
         for cache in self.caches:
-            self.close(number, cache, 0.0)
+            self.close_idle_connections(number, cache, 0.0)
         self.routers[number] = self.begin(number)
 
-    def warm(self) -> None:
+    def fill_caches(self) -> None:
         """Store each key at the nodes of its placement, as after a long time."""
         for key in range(1, len(self.cumulative_key_weights) + 1):
             for cache in self.routers[0].policy.placement.ranking(key):
-                self.caches[cache.name].hold(f"{key:x}")
+                self.caches[cache.name].store(f"{key:x}")
 
     # Clients
 
-    def want(self) -> None:
+    def begin_client_request(self) -> None:
         """Begin a client's request, and schedule the next client's."""
-        self.at(self._gap(), self.want)
-        self.wishes += 1
-        key = self._place(self.cumulative_key_weights) + 1
-        proxy = self._place(self.cumulative_proxy_weights)
+        self.at(self._gap(), self.begin_client_request)
+        self.request_count += 1
+        key = self._draw_index(self.cumulative_key_weights) + 1
+        proxy = self._draw_index(self.cumulative_proxy_weights)
         method = "save" if self.random_generator.random() < self.writes else "read"
-        self.ask(proxy, method, key, self.now, 0)
+        self.send_to_proxy(proxy, method, key, self.now, 0)
 
-    def _place(self, cumulative_weights: list[float]) -> int:
+    def _draw_index(self, cumulative_weights: list[float]) -> int:
         """Draw an index by its weight."""
         return bisect_left(cumulative_weights, self.random_generator.random() * cumulative_weights[-1])
 
-    def ask(self, proxy: int, method: str, key: int, wanted: float, retries: int) -> None:
+    def send_to_proxy(self, proxy: int, method: str, key: int, wanted: float, retries: int) -> None:
         """Send a client's request to a proxy, unless too little of its time is left."""
         left = wanted + self.methods[method]["hard_deadline"] - self.now
         if left <= RETRY_MIN_MS:
             self.lost["too late to ask again"] += 1
             return
-        number = f"{next(self.count)}"
+        number = f"{next(self.sequence)}"
         request = Request(number, method, None, key, method != "read", self.now, self.now + left, retries > 0)
         simulated = SimulatedRequest(proxy, request, wanted, retries)
-        self.follow(simulated, self.routers[proxy].route(self.now, request))
+        self.carry_out(simulated, self.routers[proxy].route(self.now, request))
 
-    def follow(self, simulated: SimulatedRequest, endpoint: str | None) -> None:
+    def carry_out(self, simulated: SimulatedRequest, endpoint: str | None) -> None:
         """Carry out what the router decided: send, answer, or wait."""
         if endpoint is not None:
             self.send(simulated, endpoint)
@@ -184,9 +186,11 @@
             self.late += not good
         elif request.answer == "exhausted" and simulated.retries < self.max_retries:
             retry_at = self.now + max(RETRY_MIN_MS, request.retry_after_ms)
-            proxy = self._place(self.cumulative_proxy_weights)
+            proxy = self._draw_index(self.cumulative_proxy_weights)
             retries = simulated.retries + 1
-            self.at(retry_at, self.ask, proxy, request.method, request.key, simulated.wanted, retries)
+            self.at(
+                retry_at, self.send_to_proxy, proxy, request.method, request.key, simulated.wanted, retries
+            )
         else:
             answer = "refused" if request.answer == "exhausted" else "errored"
             cause = self.routers[simulated.proxy].rejection_cause(self.now, request)
@@ -196,7 +200,7 @@
         """Ask the router again for a request that waits."""
         request = simulated.request
         if not request.finished and all(attempt.outcome for attempt in request.attempts):
-            self.follow(simulated, self.routers[simulated.proxy].route(self.now, request))
+            self.carry_out(simulated, self.routers[simulated.proxy].route(self.now, request))
 
     def tick(self, proxy: int) -> None:
         """Give a router its tick, note its ejections and carry out its actions."""
@@ -204,20 +208,20 @@
         router.tick(self.now)
         for line in router.log_lines:
             if line.startswith("set aside"):
-                self.avoided.append((self.now, proxy, line.split()[2].rstrip(":")))
+                self.ejections.append((self.now, proxy, line.split()[2].rstrip(":")))
         router.log_lines.clear()
         for action in router.actions:
             if isinstance(action, CloseConnections):
-                self.close(proxy, action.endpoint, 0.0)
+                self.close_idle_connections(proxy, action.endpoint, 0.0)
         router.actions.clear()
 
     # Cache nodes
 
-    def close(self, proxy: int, endpoint: str, before: float) -> None:
+    def close_idle_connections(self, proxy: int, endpoint: str, before: float) -> None:
         """Close connections that are idle since before a moment (ms); 0: all idle ones."""
-        resting = self.resting[proxy, endpoint]
-        for at in [at for at in resting if not before or at < before]:
-            resting.remove(at)
+        idle_since = self.idle_since[proxy, endpoint]
+        for at in [at for at in idle_since if not before or at < before]:
+            idle_since.remove(at)
             self.caches[endpoint].ended()
 
     def send(self, simulated: SimulatedRequest, endpoint: str) -> None:
@@ -238,18 +242,18 @@
             if finished:
                 return  # timed out before its connection was established
             answer = node.command(self.now / 1000.0, f"{request.key:x}", request.write)
-            note = NOTES.get(answer.note or "")
-            self.at(answer.at * 1000.0 + ONE_WAY_MS, finish, "completed" if answer.ran else "full", note)
+            note = NOTES.get(answer.cache_status or "")
+            self.at(answer.at * 1000.0 + ONE_WAY_MS, finish, "completed" if answer.executed else "full", note)
 
-        self.close(simulated.proxy, endpoint, self.now - IDLE_TIMEOUT_MS)
-        if self.resting[simulated.proxy, endpoint]:
-            self.resting[simulated.proxy, endpoint].pop()
+        self.close_idle_connections(simulated.proxy, endpoint, self.now - IDLE_TIMEOUT_MS)
+        if self.idle_since[simulated.proxy, endpoint]:
+            self.idle_since[simulated.proxy, endpoint].pop()
         else:
             established = node.handshake(arrival / 1000.0)
             if established is None:
                 self.at(arrival, finish, "unconnected", None)
                 return
-            self.opened += 1
+            self.opened_connections += 1
             arrival = established * 1000.0 + 2 * ONE_WAY_MS
         self.at(arrival, execute)
         self.at(self.now + request.timeout_ms, finish, "timeout", None)
@@ -260,7 +264,7 @@
         """Report an attempt's outcome to the router and follow its decision."""
         request = simulated.request
         if outcome in ("completed", "full"):
-            self.resting[simulated.proxy, endpoint].append(self.now)
+            self.idle_since[simulated.proxy, endpoint].append(self.now)
         elif outcome == "timeout":
             self.caches[endpoint].ended()
         self.outcomes[outcome] += 1
@@ -269,7 +273,7 @@
         next_endpoint = self.routers[simulated.proxy].report_attempt(
             self.now, request, len(request.attempts) - 1, outcome, self.now - since, note
         )
-        self.follow(simulated, next_endpoint)
+        self.carry_out(simulated, next_endpoint)
 
     # What they do together
 
@@ -280,11 +284,11 @@
             for name in ("fleet", "origin")
         }
 
-    def flights(self) -> int:
+    def requests_in_flight(self) -> int:
         """Return how many requests all routers together have in flight."""
         return round(sum(router.policy.fleet_limit.in_flight for router in self.routers))
 
-    def aside(self) -> float:
+    def ejected_fraction(self) -> float:
         """Return the share of all pairs of proxy and endpoint in which the endpoint is ejected."""
         ejected = sum(len(router.ejected_endpoints(self.now)) for router in self.routers)
         return ejected / self.fleet / len(self.caches)
--- a/calicofall/testbed/runner.py
+++ b/calicofall/testbed/runner.py
@@ -26,7 +26,7 @@
     DatagramRelay,
     DiscoveryEmulator,
     EmulatedConnection,
-    address,
+    proxy_address,
 )
 from calicofall.testbed.history import CanaryEvent, History, ProcessEvent, PublishedVersion
 from calicofall.testbed.network_faults import LinkFault, LinkFaults
@@ -66,7 +66,7 @@
     ) -> None:
         self.scenario, self.folder, self.program, self.commands = scenario, folder, program, commands or {}
         self.tell, self.records, self.links = told, History(), LinkFaults(scenario.seed)
-        self.wires: set[EmulatedConnection] = set()
+        self.connections: set[EmulatedConnection] = set()
         self.processes: dict[str, subprocess.Popen] = {}
         self.gone: dict[str, asyncio.Future] = {}  # the end of each one's present life, once recorded
         self.files: list[Any] = []
@@ -107,9 +107,11 @@
                 file.close()
             for relay in self.relays:
                 relay.close()
-        self.records.fetches = self.origin.spans
-        self.records.falls = [(at, name) for name, stand in self.caches.items() for at in stand.model.falls]
-        self.records.faults = self.links.spans
+        self.records.fetches = self.origin.fetches
+        self.records.falls = [
+            (at, name) for name, stand in self.caches.items() for at in stand.model.collapses
+        ]
+        self.records.faults = self.links.ended_faults
         return check_history(self.scenario, self.records)
 
     # Stand-ins
@@ -134,7 +136,7 @@
         self.service = DiscoveryEmulator(
             self, model, lambda: {n: stand.port for n, stand in self.caches.items()}
         )
-        self.service.agents = scenario.service.agents
+        self.service.has_agents = scenario.service.agents
         wall, now = time.time(), self.loop.time()
         for name, stand in self.caches.items():
             if cache.cold:
@@ -168,7 +170,7 @@
             cache.fall_multiple,
             cache.fall_s,
         )
-        self.caches[name] = CacheEmulator(self, name, model, self.clients.size, cache.reports)
+        self.caches[name] = CacheEmulator(self, name, model, self.clients.value_size, cache.reports)
 
     def entry(self, name: str, status: str = "SERVING", since: float | None = None) -> dict[str, Any]:
         before = self.service.model.entries.get(name, {})
@@ -288,7 +290,7 @@
                 "fleet": scenario.name,
                 "speak": f"127.0.0.1:{self.speaks[number]}",
                 "watchesPerS": scenario.service.room,
-                "peers": [f"{address(i)}:{own}" for i in range(fleet.proxies)],
+                "peers": [f"{proxy_address(i)}:{own}" for i in range(fleet.proxies)],
             }
         if fleet.lend_s is not None:
             start["lendS"] = fleet.lend_s
@@ -302,7 +304,7 @@
             "listen": f"{host}:{port}",
             "mgmt": self.offices[number],
             "seed": f"{scenario.seed * 1000 + number + 1:x}",
-            "discovery": f"{address(number)}:{self.service.port}",
+            "discovery": f"{proxy_address(number)}:{self.service.port}",
             "settings": self.settings(number),
             "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
         }
@@ -416,21 +418,21 @@
         elif do in ("cut", "slow", "delay", "reset", "lose"):
             self.fault(event)
         elif do == "service_down":
-            self.service.fall()
+            self.service.go_down()
         elif do == "service_silent":
             self.service.silent = True
         elif do == "service_slow":
-            self.service.slow = event.amount
+            self.service.watch_delay_s = event.amount
         elif do == "service_late":
-            self.service.model.late = event.amount
+            self.service.model.event_delay_s = event.amount
         elif do == "service_room":
-            self.service.model.room = event.amount
+            self.service.model.watches_per_s = event.amount
         elif do == "move":
             self.clients.through = self.group(event.who)
         elif do == "publish":
             version = max((one.version for one in self.records.published), default=0) + 1
             self.records.published.append(PublishedVersion(self.loop.time(), version, event.zones))
-            self.service.publish(self.document(version, event.zones, event.bad))
+            self.service.publish_document(self.document(version, event.zones, event.bad))
         elif do == "try":
             whom = sorted(int(name[1:]) for name in self.group(event.who) & self.doors.keys())
             self.records.attempts.append(
@@ -438,21 +440,21 @@
             )
             trial = {"members": whom, "s": event.span, "worse": 0.05}
             version = max((one.version for one in self.records.published), default=0) + 1
-            self.service.hand_on(self.document(version, event.zones, event.bad, trial))
+            self.service.hand_out_canary(self.document(version, event.zones, event.bad, trial))
         elif do == "service_restart":
             if event.older:
                 del self.service.documents[-event.older :]
-            self.service.fall()
+            self.service.go_down()
             self.service.model.restart(int(event.amount))
             self.service.down = False
-            if self.service.agents:
-                self.service.speak()
+            if self.service.has_agents:
+                self.service.end_silence()
         elif do != "burst":
             self.cache(event)
 
     def process(self, event: Any, name: str) -> None:
         if event.do == "restart":
-            self.clients.hold(self.again(name, event.forget))
+            self.clients.start_task(self.again(name, event.forget))
         else:
             number, what = {
                 "kill": (signal.SIGKILL, "killed"),
@@ -481,24 +483,24 @@
         self.changed()
 
     def changed(self) -> None:
-        for wire in list(self.wires):
-            wire.changed()
+        for connection in list(self.connections):
+            connection.on_faults_changed()
 
     def cache(self, event: Any) -> None:
         now, wall = self.loop.time(), time.time()
         for name in sorted(self.group(event.who)):
             if event.do == "drain":
-                self.service.change(self.entry(name, "DRAINING"))
+                self.service.publish_entries(self.entry(name, "DRAINING"))
             elif event.do == "remove":
-                self.service.change(self.entry(name, "DELETED"))
+                self.service.publish_entries(self.entry(name, "DELETED"))
             elif event.do == "sick":
-                self.caches[name].model.slow = max(1.0, event.amount)
+                self.caches[name].model.slowdown = max(1.0, event.amount)
             elif event.do == "sick_large":
-                self.caches[name].model.slow_large = max(1.0, event.amount)
+                self.caches[name].model.large_answer_slowdown = max(1.0, event.amount)
             else:  # add, cold: from nothing
                 self.caches[name].model.start(now)
                 self.records.cold.setdefault(name, []).append(now)
-                self.service.change(self.entry(name, since=wall))
+                self.service.publish_entries(self.entry(name, since=wall))
 
     def finish(self, event: Any) -> None:
         do = event.do
@@ -507,23 +509,23 @@
                 self.send(name, signal.SIGCONT, "woken")
         elif do in ("kill", "term"):
             for name in sorted(self.group(event.who) & self.doors.keys()):
-                self.clients.hold(self.again(name, event.forget))
+                self.clients.start_task(self.again(name, event.forget))
         elif do == "service_down":
             self.service.down = False
-            if self.service.agents:
-                self.service.speak()
+            if self.service.has_agents:
+                self.service.end_silence()
         elif do == "service_slow":
-            self.service.slow = 0.0
+            self.service.watch_delay_s = 0.0
         elif do == "service_silent":
-            self.service.speak()
+            self.service.end_silence()
         elif do == "service_late":
-            self.service.model.late = 0.0
+            self.service.model.event_delay_s = 0.0
         elif do == "service_room":
-            self.service.model.room = self.scenario.service.room
+            self.service.model.watches_per_s = self.scenario.service.room
         elif do in ("sick", "sick_large"):
             for name in self.group(event.who):
                 model = self.caches[name].model
-                model.slow = model.slow_large = 1.0
+                model.slowdown = model.large_answer_slowdown = 1.0
 
     # What is looked after
 
@@ -552,8 +554,9 @@
         heard = len({told.proxy for told in self.records.told})
         asked = sum(ask.what == "asked" for ask in self.records.asked)
         self.tell(
-            f"{self.loop.time() - self.began:6.1f} s  up {len(self.clients.up)}, lists {heard}, asked "
-            f"{asked}, RPCs {self.clients.given}, completed {self.clients.done}"
+            f"{self.loop.time() - self.began:6.1f} s  up {len(self.clients.available_proxies)}, "
+            f"lists {heard}, asked {asked}, RPCs {self.clients.begun_count}, "
+            f"completed {self.clients.completed_count}"
         )
 
 
--- a/calicofall/testbed/server_models.py
+++ b/calicofall/testbed/server_models.py
@@ -21,18 +21,20 @@
     Beyond that rate it refuses (with Retry-After, where `after` is given) or queues up to `queue` of them.
     """
 
-    def __init__(self, room: float, most: int, after: int | None = None, queue: int = 0) -> None:
-        self.room = room
-        self.most = most
-        self.after = after  # s, of Retry-After
+    def __init__(
+        self, watches_per_s: float, max_open: int, retry_after_s: int | None = None, queue: int = 0
+    ) -> None:
+        self.watches_per_s = watches_per_s
+        self.max_open = max_open
+        self.retry_after_s = retry_after_s  # s, of Retry-After
         self.queue = queue
         self.entries: dict[str, dict[str, Any]] = {}
         self.index = 0
         self.changes: list[tuple[int, dict[str, Any]]] = []  # version, entry
-        self.tokens = max(1.0, room * BURST_S)
+        self.tokens = max(1.0, watches_per_s * BURST_S)
         self.at = 0.0  # when the tokens were counted
         self.open = 0
-        self.late = 0.0  # s by which watch events are delayed
+        self.event_delay_s = 0.0  # s by which watch events are delayed
 
     def put(self, entry: dict[str, Any]) -> int:
         """Publish an entry that has changed, and return the new version of the list."""
@@ -44,16 +46,16 @@
             self.entries[entry["name"]] = entry
         return self.index
 
-    def ask(self, now: float) -> float | None:
+    def request_watch(self, now: float) -> float | None:
         """Return when a watch that is requested now begins (s); None: it is refused."""
-        burst = max(1.0, self.room * BURST_S)
-        self.tokens = min(burst, self.tokens + (now - self.at) * self.room)
+        burst = max(1.0, self.watches_per_s * BURST_S)
+        self.tokens = min(burst, self.tokens + (now - self.at) * self.watches_per_s)
         self.at = now
-        if self.open >= self.most or self.tokens < 1.0 - self.queue:
+        if self.open >= self.max_open or self.tokens < 1.0 - self.queue:
             return None
         self.tokens -= 1.0
         self.open += 1
-        return now if self.tokens >= 0.0 else now - self.tokens / self.room
+        return now if self.tokens >= 0.0 else now - self.tokens / self.watches_per_s
 
     def ended(self) -> None:
         """Count a watch that has ended."""
@@ -81,12 +83,12 @@
     delays no fetch that begins before it.
     """
 
-    def __init__(self, limit: int, took: float) -> None:
+    def __init__(self, limit: int, fetch_s: float) -> None:
         self.limit = limit
-        self.took = took
+        self.fetch_s = fetch_s
         self.begins: list[float] = []  # sorted
         self.ends: list[float] = []  # sorted
-        self.spans: list[tuple[float, float]] = []  # requested, done
+        self.fetches: list[tuple[float, float]] = []  # requested, done
 
     def fetch(self, at: float) -> float:
         """Return when a fetch that is requested at a moment is done (s)."""
@@ -97,17 +99,17 @@
                 break
             begin = self.ends[finished]
         insort(self.begins, begin)
-        insort(self.ends, begin + self.took)
-        self.spans.append((at, begin + self.took))
-        return begin + self.took
+        insort(self.ends, begin + self.fetch_s)
+        self.fetches.append((at, begin + self.fetch_s))
+        return begin + self.fetch_s
 
 
 class ModelAnswer(NamedTuple):
     """What a cache node makes of a command: BUSY where it was not executed, or a value at a time."""
 
     at: float  # s
-    ran: bool
-    note: str | None = None  # hit, miss, pending
+    executed: bool
+    cache_status: str | None = None  # hit, miss, pending
 
 
 class CacheModel:
@@ -144,21 +146,21 @@
         self.fall = fall
         self.fall_span = fall_span
         self.free = [0.0] * slots  # heap: when each slot is free
-        self.held: OrderedDict[str, None] = OrderedDict()  # keys, least recently used first
+        self.stored_keys: OrderedDict[str, None] = OrderedDict()  # keys, least recently used first
         self.fetching: dict[str, float] = {}  # by key: when its fetch is done
         self.ends: deque[float] = deque()  # of requests in flight, sorted
         self.open = 0
         self.began: float | None = None  # the last start from nothing
         self.down_until = 0.0
-        self.sent: deque[float] = deque()  # when commands came, over the last `fall_span`
-        self.falls: list[float] = []
-        self.slow = 1.0  # factor on the time that a request takes
-        self.slow_large = 1.0  # factor for large answers: on their way, with no slot in use
+        self.command_times: deque[float] = deque()  # when commands came, over the last `fall_span`
+        self.collapses: list[float] = []
+        self.slowdown = 1.0  # factor on the time that a request takes
+        self.large_answer_slowdown = 1.0  # factor for large answers: on their way, with no slot in use
 
     def start(self, now: float) -> None:
         """Start with an empty cache."""
         self.began = now
-        self.held.clear()
+        self.stored_keys.clear()
         self.fetching.clear()
         self.free = [now] * self.slots
         heapify(self.free)
@@ -176,7 +178,7 @@
 
     def _work(self, now: float, span: float) -> float:
         """Occupy the slot that is free first, and return when its work is done."""
-        done = max(now, self.free[0]) + span * self.slow / self.speed(now)
+        done = max(now, self.free[0]) + span * self.slowdown / self.speed(now)
         heapreplace(self.free, done)
         return done
 
@@ -198,49 +200,49 @@
             self.ends.popleft()
         if now < self.down_until or len(self.ends) >= self.slots + self.queue:
             return ModelAnswer(now, False)
-        done, note = self._execute(now, key, write)
+        done, cache_status = self._execute(now, key, write)
         if large and not write:
-            done += (self.slow_large - 1.0) * self.hit
+            done += (self.large_answer_slowdown - 1.0) * self.hit
         self.ends.append(done)
         if len(self.ends) > 1 and self.ends[-2] > done:
             self.ends = deque(sorted(self.ends))
-        return ModelAnswer(done, True, note)
+        return ModelAnswer(done, True, cache_status)
 
     def _execute(self, now: float, key: str, write: bool) -> tuple[float, str | None]:
         """Return when a command is done, and whether a read was a hit."""
         done = self._work(now, self.hit)
         if write:
             written = self.origin.fetch(done)
-            self.held.pop(key, None)
+            self.stored_keys.pop(key, None)
             return written, None
         if self.fetching.get(key, 0.0) > now:
             return max(done, self.fetching[key]), "pending"
-        if key not in self.held:
+        if key not in self.stored_keys:
             fetched = self.origin.fetch(done)
             self.fetching[key] = fetched
-            self.hold(key)
+            self.store(key)
             return fetched, "miss"
-        self.held.move_to_end(key)
+        self.stored_keys.move_to_end(key)
         return done, "hit"
 
     def report(self, now: float) -> bytes:
         """Return the load report sent with an answer: requests in flight, requests a second it can serve."""
         return b"pending=%d,served_ps=%d" % (sum(end > now for end in self.ends), self.capacity(now))
 
-    def hold(self, key: str) -> None:
+    def store(self, key: str) -> None:
         """Store a key, and evict the least recently used one where memory is full."""
-        self.held[key] = None
-        if len(self.held) > self.max_keys:
-            self.held.popitem(last=False)
+        self.stored_keys[key] = None
+        if len(self.stored_keys) > self.max_keys:
+            self.stored_keys.popitem(last=False)
 
     def _collapse_if_overloaded(self, now: float) -> None:
         """Count a command; a node that warms up collapses when it is sent too many."""
-        self.sent.append(now)
-        while self.sent and self.sent[0] < now - self.fall_span:
-            self.sent.popleft()
+        self.command_times.append(now)
+        while self.command_times and self.command_times[0] < now - self.fall_span:
+            self.command_times.popleft()
         cold = self.began is not None and now - self.began < self.cold
-        overloaded = len(self.sent) > self.fall * self.capacity(now) * self.fall_span
+        overloaded = len(self.command_times) > self.fall * self.capacity(now) * self.fall_span
         if cold and overloaded and now >= self.down_until:
             self.down_until = now + self.fall_span
-            self.falls.append(now)
+            self.collapses.append(now)
             self.start(self.down_until)
--- a/calicofall/testbed/simulation.py
+++ b/calicofall/testbed/simulation.py
@@ -73,7 +73,7 @@
             for me in range(fleet)
         ]
         self.cuts: Counter[tuple[int, int]] = Counter()  # by (from, to): how many cuts apply to a link
-        self.held_up: dict[tuple[int, int], float] = {}  # extra delay of a link (s)
+        self.extra_link_delay_s: dict[tuple[int, int], float] = {}  # extra delay of a link (s)
         self.events: list[tuple[float, int, Callback, tuple[Any, ...]]] = []
         self.event_count = 0
         self.now = 0.0
@@ -95,7 +95,7 @@
         messages, next_at = node.instance.wake(node.clock(self.now))
         return messages, next_at
 
-    def woken_first(self) -> None:
+    def on_resumed(self) -> None:
         """A node has been resumed, and acts before it has seen what came while it was stopped."""
 
     # Events
@@ -155,7 +155,7 @@
                 if self.random_generator.random() < self.stuck
                 else 0.0
             )
-            extra_s += self.held_up.get((sender, to), 0.0)
+            extra_s += self.extra_link_delay_s.get((sender, to), 0.0)
             delay_s = self.slow * self.random_generator.random() ** 3 * DELAY_TAIL
             self.at(self.now + delay_s + extra_s, self.receive, to, message)
 
@@ -181,7 +181,7 @@
         node.stopped = False
         deferred = node.deferred
         node.deferred = []
-        self.woken_first()
+        self.on_resumed()
         for callback, values in deferred:
             callback(*values)
 
@@ -197,7 +197,7 @@
             self.fleet[me].incarnation += 1  # so that nothing scheduled before happens
             self.dead.add(me)
 
-    def rise(self, me: int) -> None:
+    def restart_killed(self, me: int) -> None:
         """Starts a node that was killed."""
         self.dead.discard(me)
         self.restart(me)
--- a/calicofall/testbed/startup_simulation.py
+++ b/calicofall/testbed/startup_simulation.py
@@ -57,14 +57,14 @@
 class StartupResult(NamedTuple):
     """What the service saw, and when proxies had their lists (seconds since the first start)."""
 
-    asks: list[float]
-    lists: list[float]  # in order
+    attempt_times: list[float]
+    list_times: list[float]  # in order
     datagrams: int
 
     @property
     def peak(self) -> int:
         """The most attempts in any second."""
-        return most_in_span(self.asks)[0]
+        return most_in_span(self.attempt_times)[0]
 
 
 class StartingNode:
@@ -110,8 +110,8 @@
         self.events: list[Event] = []
         self.scheduled = 0
         self.datagrams = 0
-        self.asks: list[float] = []
-        self.lists: list[float] = []
+        self.attempt_times: list[float] = []
+        self.list_times: list[float] = []
         self._schedule_starts()
 
     def _schedule_starts(self) -> None:
@@ -129,7 +129,7 @@
     def run(self) -> StartupResult:
         """Plays until all have their lists, or the scenario is over."""
         wanted = sum(not node.has_list for node in self.nodes)
-        while self.events and len(self.lists) < wanted:
+        while self.events and len(self.list_times) < wanted:
             event = heappop(self.events)
             if event.at_s > self.scenario.duration_s:
                 break
@@ -139,7 +139,7 @@
                 continue
             self.now = event.at_s
             event.action()
-        return StartupResult(self.asks, self.lists, self.datagrams)
+        return StartupResult(self.attempt_times, self.list_times, self.datagrams)
 
     def _schedule(self, at_s: float, node: StartingNode, action: Callable[[], None]) -> None:
         self.scheduled += 1
@@ -186,16 +186,16 @@
         if later_s is not None:
             self._schedule_attempt(node, later_s)
             return
-        self.asks.append(self.now)
+        self.attempt_times.append(self.now)
         if self.scenario.service_silent.covers(self.now):
             self._schedule(self.now + ATTEMPT_TIMEOUT_S, node, partial(self._give_up, node))
             return
-        if self.service.ask(self.now) is None:
+        if self.service.request_watch(self.now) is None:
             self._schedule_attempt(node, node.schedule.retry_at_after_refusal(self.now))
             return
         node.has_list = True
         node.schedule.reset_backoff()
-        self.lists.append(self.now)
+        self.list_times.append(self.now)
 
     def _give_up(self, node: StartingNode) -> None:
         self._schedule_attempt(node, node.schedule.retry_at_after_failure(self.now))
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -17,9 +17,9 @@
     AgreementSimulation,
     LinkFaults,
     agreement_of,
+    run_random_walk,
     run_schedule,
     schedules,
-    walk,
 )
 
 # One in so many of the schedules is run; 1 runs all of them, which takes some minutes.
@@ -157,7 +157,7 @@
 def late_responses(make: MakeAgreement) -> AgreementSimulation:
     """A proxy whose requests are answered late, the last ones just before a version it cannot hear of."""
     simulation = agreed_simulation(3, make)
-    simulation.held_up = {(1, 0): 2.7, (2, 0): 2.7}
+    simulation.extra_link_delay_s = {(1, 0): 2.7, (2, 0): 2.7}
     simulation.run(12.0)
     simulation.cut({(-1, 0), (0, -1)})
     simulation.run(12.3)
@@ -327,7 +327,7 @@
     links = LinkFaults(lost=0.1, duplicated=0.1, stuck=0.05)
     for seed in seeds:
         simulation = AgreementSimulation(fleet, seed, voters=min(fleet, 7), links=links)
-        walk(simulation, 30.0 if fleet < 50 else 12.0)
+        run_random_walk(simulation, 30.0 if fleet < 50 else 12.0)
         assert not violates_agreement(simulation), seed
         assert simulation.agreed(), seed
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -36,23 +36,23 @@
         **more,
     )
     if warm:
-        out.warm()
+        out.fill_caches()
         for number in cold:
-            built[number].held.clear()
+            built[number].stored_keys.clear()
     return out
 
 
 def served(one: RoutingSimulation, seconds: float) -> float:
     """Return the share of the requests of the next seconds that is served in time."""
-    wishes, good = one.wishes, one.in_time
+    wishes, good = one.request_count, one.in_time
     one.run(one.now + seconds * 1000.0)
-    return (one.in_time - good) / (one.wishes - wishes)
+    return (one.in_time - good) / (one.request_count - wishes)
 
 
 def test_fleet_without_faults_is_served_and_ejects_next_to_nothing() -> None:
     one = simulate(0.5, caches=40)
     assert served(one, 6.0) > 0.9 and served(one, 6.0) > 0.99
-    assert len(one.avoided) < 0.01 * one.wishes and one.aside() < 0.001
+    assert len(one.ejections) < 0.01 * one.request_count and one.ejected_fraction() < 0.001
 
 
 def test_overloaded_fleet_has_in_flight_within_a_stated_factor_of_capacity() -> None:
@@ -64,15 +64,15 @@
     outs = []
     for _ in range(20):
         one.run(one.now + 200.0)
-        outs.append(one.flights())
+        outs.append(one.requests_in_flight())
     assert full / 2 <= sum(outs) / len(outs) <= 6.0 * full, (full, outs)
 
 
 def test_cold_nodes_that_all_proxies_send_to_do_not_collapse() -> None:
     one = simulate(0.6, caches=40, cold=tuple(range(0, 40, 4)))
     one.run(12_000.0)
-    assert not any(cache.falls for cache in one.caches.values())
-    sent = [len(one.caches[f"c{number}"].held) for number in range(0, 40, 4)]
+    assert not any(cache.collapses for cache in one.caches.values())
+    sent = [len(one.caches[f"c{number}"].stored_keys) for number in range(0, 40, 4)]
     assert min(sent) > 0  # they are warmed all the same
 
 
@@ -87,15 +87,15 @@
 def test_proxy_with_several_times_the_mean_load_is_served() -> None:
     one = simulate(0.5, caches=40, weights=[20.0] + [1.0] * 199)
     busy: list[bool] = []
-    follow = one.follow
+    carry_out = one.carry_out
 
     def watched(simulated: SimulatedRequest, endpoint: str | None) -> None:
-        follow(simulated, endpoint)
+        carry_out(simulated, endpoint)
         answer = simulated.request.answer
         if simulated.proxy == 0 and endpoint is None and answer and one.now > 6000.0:
             busy.append(answer == "completed" and one.now - simulated.wanted <= 500.0)
 
-    one.follow = watched
+    one.carry_out = watched
     one.run(12_000.0)
     assert len(busy) > 300 and sum(busy) / len(busy) > 0.97
 
@@ -104,6 +104,6 @@
     one = simulate(0.5, caches=40)
     served(one, 6.0)
     for number in range(0, 200, 2):
-        one.renew(number)
+        one.restart_proxy(number)
     first, after = served(one, 3.0), served(one, 5.0)
     assert first > 0.7 and after > 0.97, (first, after)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -135,7 +135,7 @@
     for me in (1, 2, 3):
         simulation.kill({me})
         simulation.run(simulation.now + 15.0)
-        simulation.rise(me)
+        simulation.restart_killed(me)
         simulation.run(simulation.now + 20.0)
     return simulation
 
@@ -187,7 +187,7 @@
     assert took is not None
     assert SUSPICION_TIMEOUT_S < took <= bound * (1.0 if not loss else 2.0)
     for me in sorted(lost):
-        simulation.rise(me)
+        simulation.restart_killed(me)
     assert simulation.time_until_views_equal(NO_MEMBERS, 2.0 * fleet * ROUND_INTERVAL_S) is not None
 
 
@@ -224,7 +224,7 @@
             elif what == 1 and me not in simulation.dead:
                 simulation.kill({me})
             elif what == 2 and simulation.dead:
-                simulation.rise(min(simulation.dead))
+                simulation.restart_killed(min(simulation.dead))
             elif what == 3:
                 simulation.isolate(
                     me, random_generator.choice(["in", "out", "both"]), random_generator.uniform(1.0, 9.0)
--- a/tests/test_quota_leases.py
+++ b/tests/test_quota_leases.py
@@ -107,7 +107,7 @@
     """Demand moves from some proxies to others."""
     simulation = QuotaSimulation(4, 1, leases_class)
     for few in ((0,), (1, 2), (3,), (0, 1, 2, 3)):
-        simulation.wants = [UNITS if me in few else 0 for me in range(4)]
+        simulation.demands = [UNITS if me in few else 0 for me in range(4)]
         simulation.run(simulation.now + 8.0)
     return simulation
 
@@ -117,11 +117,11 @@
 ) -> QuotaSimulation:
     """One borrows from all others, which are restarted while its leases run."""
     simulation = kind(4, 1, leases_class)
-    simulation.wants = [UNITS, 0, 0, 0]
+    simulation.demands = [UNITS, 0, 0, 0]
     simulation.run(8.0)
-    simulation.wants = [UNITS] * 4
+    simulation.demands = [UNITS] * 4
     for me in (1, 2, 3):
-        simulation.rise(me)
+        simulation.restart_killed(me)
     simulation.run(20.0)
     return simulation
 
@@ -130,10 +130,10 @@
     simulation = QuotaSimulation(3, 1, leases_class)
     simulation.run(4.0)
     for other in (1, 2):
-        simulation.held_up[other, 0] = 2.5
-    simulation.wants = [UNITS, 0, 0]
+        simulation.extra_link_delay_s[other, 0] = 2.5
+    simulation.demands = [UNITS, 0, 0]
     simulation.run(6.8)
-    simulation.wants = [UNITS] * 3  # the owners need their units, and the leases expire
+    simulation.demands = [UNITS] * 3  # the owners need their units, and the leases expire
     simulation.cut({(0, 1), (0, 2)})
     simulation.run(20.0)
     return simulation
@@ -141,7 +141,7 @@
 
 def messages_are_duplicated(leases_class: Callable[..., QuotaLeases]) -> QuotaSimulation:
     simulation = QuotaSimulation(4, 1, leases_class, double=1.0)
-    simulation.wants = [UNITS, 0, 0, UNITS]
+    simulation.demands = [UNITS, 0, 0, UNITS]
     simulation.run(30.0)
     return simulation
 
@@ -149,9 +149,9 @@
 def borrower_is_stopped(leases_class: Callable[..., QuotaLeases]) -> QuotaSimulation:
     """One that has borrowed is stopped until its leases have expired, and goes on."""
     simulation = QuotaSimulation(4, 1, leases_class)
-    simulation.wants = [UNITS, 0, 0, 0]
+    simulation.demands = [UNITS, 0, 0, 0]
     simulation.run(8.0)
-    simulation.wants = [UNITS] * 4
+    simulation.demands = [UNITS] * 4
     simulation.stop(0, 9.0)
     simulation.run(25.0)
     return simulation
@@ -162,11 +162,11 @@
     simulation = QuotaSimulation(3, 1, leases_class, double=1.0, stuck=0.3)
     simulation.run(4.0)
     for _ in range(12):
-        simulation.wants = [UNITS, 0, 0]
+        simulation.demands = [UNITS, 0, 0]
         simulation.run(simulation.now + 1.0)
         simulation.cut({(0, 1), (0, 2)}, 6.0)
         simulation.run(simulation.now + 2.0)
-        simulation.wants = [UNITS] * 3
+        simulation.demands = [UNITS] * 3
         simulation.run(simulation.now + 6.0)
     return simulation
 
@@ -184,7 +184,7 @@
 @pytest.mark.parametrize("scenario", SCENARIOS)
 def test_usable_units_under_each_fault_never_exceed_limit(scenario: Callable) -> None:
     simulation = scenario(QuotaLeases)
-    assert simulation.over == 0.0
+    assert simulation.peak_excess_fraction == 0.0
     assert simulation.observations > 300
     assert simulation.peak_units > UNITS // 2
 
@@ -202,7 +202,7 @@
     ],
 )
 def test_fault_scenarios_with_planted_defect_find_it(leases_class: type, scenario: Callable) -> None:
-    assert scenario(leases_class).over > 0.01
+    assert scenario(leases_class).peak_excess_fraction > 0.01
 
 
 @pytest.mark.parametrize(("fleet", "count"), [(3, 8), (8, 8), (24, 3)])
@@ -211,7 +211,7 @@
     for seed in range(count):
         simulation = QuotaSimulation(fleet, seed, loss=0.1, double=0.1, stuck=0.1)
         run_random_faults(simulation, 60.0)
-        assert simulation.over == 0.0, seed
+        assert simulation.peak_excess_fraction == 0.0, seed
         most = max(most, simulation.peak_units)
     assert most > 0.8 * UNITS  # most of the limit was in use at some time
 
@@ -252,7 +252,7 @@
 def test_units_follow_demand_within_stated_time_and_return(fleet: int, few: int) -> None:
     simulation = QuotaSimulation(fleet, 1)
     simulation.run(2 * grant_duration(LEASE, DRIFT))
-    simulation.wants = [UNITS // few if me < few else 0 for me in range(fleet)]
+    simulation.demands = [UNITS // few if me < few else 0 for me in range(fleet)]
     times = min(MAX_BORROWED_LEASES, (fleet - few) / few)  # its own units, that each may borrow
     simulation.run(
         simulation.now
@@ -262,10 +262,10 @@
     own = UNITS // fleet
     got = sum(part for me, part in simulation.usable_units().items() if me < few) / few
     assert got >= 0.9 * own * (1.0 + MAX_LENT_FRACTION * times)
-    simulation.wants = [0 if me < few else own for me in range(fleet)]
+    simulation.demands = [0 if me < few else own for me in range(fleet)]
     simulation.run(simulation.now + LEASE / 2.0 + grant_duration(LEASE, DRIFT) + ROUND_INTERVAL_S)
     assert min(part for me, part in simulation.usable_units().items() if me >= few) == own
-    assert simulation.over == 0.0
+    assert simulation.peak_excess_fraction == 0.0
 
 
 @pytest.mark.parametrize(("fleet", "few", "most"), [(8, 1, 0.07), (24, 3, 0.06), (24, 24, 0.06)])
@@ -277,35 +277,35 @@
         random_generator.paretovariate(1.1) if few == fleet or me < few else 0.0 for me in range(fleet)
     ]
     times = 1.2 if few == fleet else 5.0
-    simulation.wants = [int(times * UNITS * weight / sum(weights)) for weight in weights]
+    simulation.demands = [int(times * UNITS * weight / sum(weights)) for weight in weights]
     simulation.run(simulation.now + 4.0)
     seen = []
     for _ in range(40):
         simulation.run(simulation.now + 0.25)
-        seen.append(simulation.unused)
+        seen.append(simulation.unusable_demand_fraction)
     assert sum(seen) / len(seen) < most
-    assert simulation.over == 0.0
+    assert simulation.peak_excess_fraction == 0.0
 
 
 def test_rate_units_with_tenth_of_messages_lost_are_mostly_used() -> None:
     """Requests that aren't answered are sent again, or leases would expire for a lost message."""
     simulation = QuotaSimulation(50, 1, RateQuotaLeases, loss=0.1)
     simulation.run(7.0)
-    simulation.wants = [UNITS // 5 if me < 5 else 0 for me in range(50)]
+    simulation.demands = [UNITS // 5 if me < 5 else 0 for me in range(50)]
     simulation.run(simulation.now + 3.0)
     seen = []
     for _ in range(60):
         simulation.run(simulation.now + 0.25)
-        seen.append(simulation.unused)
+        seen.append(simulation.unusable_demand_fraction)
     assert sum(seen) / len(seen) < 0.12
-    assert simulation.over == 0.0
+    assert simulation.peak_excess_fraction == 0.0
 
 
 def test_isolated_proxy_has_floor_at_once_and_own_units_after_grant_time() -> None:
     simulation = QuotaSimulation(8, 1)
-    simulation.wants = [UNITS, *[0] * 7]
+    simulation.demands = [UNITS, *[0] * 7]
     simulation.run(8.0)
-    simulation.wants = [0, *[UNITS] * 7]
+    simulation.demands = [0, *[UNITS] * 7]
     simulation.cut({(a, b) for a in range(8) for b in range(8)})
     assert min(simulation.usable_units().values()) >= int((1.0 - MAX_LENT_FRACTION) * (UNITS // 8))
     simulation.run(simulation.now + grant_duration(LEASE, DRIFT) + 0.1)
@@ -315,7 +315,7 @@
 def test_owner_with_own_demand_does_not_lend_what_it_needs() -> None:
     simulation = QuotaSimulation(4, 1)
     simulation.run(4.0)
-    simulation.wants = [UNITS, UNITS // 4, 0, 0]
+    simulation.demands = [UNITS, UNITS // 4, 0, 0]
     simulation.run(8.0)
     assert simulation.usable_units()[1] >= UNITS // 4 < simulation.usable_units()[0]
 
--- a/tests/test_rate_slots.py
+++ b/tests/test_rate_slots.py
@@ -66,9 +66,9 @@
 def demand_moves(slots_class: Callable[..., RateSlots]) -> RateSlotSimulation:
     simulation = RateSlotSimulation(6, 1, slots_class)
     for few in ((0,), (1, 2), (3,), (0, 1, 2, 3, 4, 5)):
-        simulation.wants = [UNITS if me in few else 0 for me in range(6)]
+        simulation.demands = [UNITS if me in few else 0 for me in range(6)]
         simulation.run(simulation.now + 8.0)
-    simulation.wants = [UNITS] * 6
+    simulation.demands = [UNITS] * 6
     simulation.run(simulation.now + 4.0)
     return simulation
 
@@ -80,7 +80,7 @@
 def all_are_stopped(slots_class: Callable[..., RateSlots]) -> RateSlotSimulation:
     """All are stopped while they wait for their slots, and resumed together."""
     simulation = RateSlotSimulation(40, 1, slots_class)
-    simulation.wants = [UNITS] * 40
+    simulation.demands = [UNITS] * 40
     simulation.run(6.0)
     for me in range(40):
         simulation.stop(me, 5.0)
@@ -95,7 +95,7 @@
 def test_slots_under_each_fault_are_used_once_and_within_rate(scenario: Callable) -> None:
     simulation = scenario(RateSlots)
     assert simulation.slots_taken_twice == 0
-    assert simulation.peak <= simulation.room * (1.0 + SLOT_LATENESS_S) + 1
+    assert simulation.peak_slots_per_s <= simulation.slots_per_s * (1.0 + SLOT_LATENESS_S) + 1
     assert len(simulation.taken_at) > 200
 
 
@@ -110,7 +110,10 @@
 )
 def test_fault_scenarios_with_planted_defect_find_it(slots_class: type, scenario: Callable) -> None:
     simulation = scenario(slots_class)
-    assert simulation.slots_taken_twice or simulation.peak > simulation.room * (1.0 + SLOT_LATENESS_S) + 1
+    assert (
+        simulation.slots_taken_twice
+        or simulation.peak_slots_per_s > simulation.slots_per_s * (1.0 + SLOT_LATENESS_S) + 1
+    )
 
 
 @pytest.mark.parametrize(("fleet", "count"), [(3, 6), (12, 4), (40, 2)])
@@ -119,7 +122,7 @@
         simulation = RateSlotSimulation(fleet, seed, loss=0.1, double=0.1, stuck=0.1)
         run_random_faults(simulation, 40.0)
         assert simulation.slots_taken_twice == 0, seed
-        assert simulation.peak <= simulation.room * (1.0 + SLOT_LATENESS_S) + 1, seed
+        assert simulation.peak_slots_per_s <= simulation.slots_per_s * (1.0 + SLOT_LATENESS_S) + 1, seed
 
 
 class IgnoresGainedAt(OriginFetchSlots):
@@ -142,7 +145,7 @@
 
     for simulation in simulate():
         assert simulation.slots_taken_twice == 0
-        assert simulation.peak <= simulation.room * (1.0 + SLOT_LATENESS_S) + 1
+        assert simulation.peak_slots_per_s <= simulation.slots_per_s * (1.0 + SLOT_LATENESS_S) + 1
         assert len(simulation.taken_at) > 300
     monkeypatch.setattr("calicofall.testbed.rate_slot_simulation.OriginFetchSlots", IgnoresGainedAt)
     assert any(simulation.slots_taken_twice for simulation in simulate())
@@ -150,16 +153,16 @@
 
 def test_slots_with_clock_skew_exceed_rate_by_twice_the_skew_at_most() -> None:
     simulation = RateSlotSimulation(24, 1, skew=0.2)
-    simulation.wants = [UNITS] * 24
+    simulation.demands = [UNITS] * 24
     simulation.run(20.0)
-    assert simulation.peak <= simulation.room * (1.0 + 2 * 0.2 + SLOT_LATENESS_S) + 1
+    assert simulation.peak_slots_per_s <= simulation.slots_per_s * (1.0 + 2 * 0.2 + SLOT_LATENESS_S) + 1
 
 
 @pytest.mark.parametrize(("fleet", "few"), [(8, 2), (24, 2), (200, 4)])
 def test_slots_follow_demand_and_return(fleet: int, few: int) -> None:
-    simulation = RateSlotSimulation(fleet, 1, room=400.0)
+    simulation = RateSlotSimulation(fleet, 1, slots_per_s=400.0)
     simulation.run(7.0)
-    simulation.wants = [UNITS // few if me < few else 0 for me in range(fleet)]
+    simulation.demands = [UNITS // few if me < few else 0 for me in range(fleet)]
     simulation.run(14.0)
     got = sum(at >= 11.0 for at in simulation.taken_at) / 3.0
     most = min(
@@ -167,7 +170,7 @@
         few * 400.0 / fleet * (1.0 + min(MAX_BORROWED_LEASES / SLOTS_PER_PROXY, 0.75 * (fleet - few) / few)),
     )
     assert got >= 0.9 * most
-    simulation.wants = [UNITS // fleet] * fleet
+    simulation.demands = [UNITS // fleet] * fleet
     simulation.run(24.0)
     assert sum(at >= 22.0 for at in simulation.taken_at) / 2.0 >= 0.95 * 400.0
     assert simulation.slots_taken_twice == 0
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -28,7 +28,7 @@
 from calicofall.routing.policy import RoutingPolicy
 from calicofall.routing.router import Router
 from calicofall.testbed import scenario
-from calicofall.testbed.clients import Draw
+from calicofall.testbed.clients import TrafficPlan
 from calicofall.testbed.routing_simulation import RoutingSimulation
 from calicofall.testbed.runner import run_scenario
 from calicofall.testbed.server_models import CacheModel, OriginModel
@@ -123,7 +123,7 @@
     simulation.at(4000.0, lambda: setattr(simulation, "per_s", 900.0))
     simulation.at(6000.0, lambda: setattr(simulation, "per_s", 200.0))
     simulation.at(3000.0, lambda: setattr(caches[6], "slow", 12.0))
-    simulation.at(5000.0, simulation.renew, random_generator.randrange(4))
+    simulation.at(5000.0, simulation.restart_proxy, random_generator.randrange(4))
     simulation.run(seconds * 1000.0)
     for router in RecordingInMemory.made:
         router.write_segments(simulation.now)
@@ -787,7 +787,7 @@
     command = ["record", "traffic", str(tmp_path / "out" / "p0" / "record"), str(traffic)]
     assert CliRunner().invoke(main, command).exit_code == 0
     again = scenario.parse_scenario(plan | {"traffic": {"record": str(traffic)}}, "again")
-    drawn = Draw(again).rpcs
+    drawn = TrafficPlan(again).requests
     assert len(drawn) > 20
     assert {method for _, method, *_ in drawn} >= {"read", "save"}
     assert [key for *_, key, _ in drawn] == [row[2] for row in json.loads(traffic.read_bytes())][: len(drawn)]
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -22,7 +22,7 @@
 from calicofall.cli.main import main
 from calicofall.testbed import randomized_scenarios, report, scenario
 from calicofall.testbed.checker import Verdict, check_history, most_held, most_in_span
-from calicofall.testbed.emulated_servers import address, number_of
+from calicofall.testbed.emulated_servers import proxy_address, proxy_number
 from calicofall.testbed.history import (
     ClientAnswer,
     ClientAttempt,
@@ -163,10 +163,12 @@
 def test_a_service_begins_no_more_than_its_room() -> None:
     service, random_generator = DiscoveryModel(10.0, 1000), Random(1)
     times = sorted(random_generator.uniform(0.0, 10.0) for _ in range(600))
-    begun = [at for at in times if service.ask(at) is not None]
+    begun = [at for at in times if service.request_watch(at) is not None]
     assert 95 <= len(begun) <= 106 and most_in_span(begun)[0] <= 15
     queue = DiscoveryModel(10.0, 1000, queue=20)
-    assert [queue.ask(0.0) for _ in range(40)].count(None) == 15 and queue.ask(0.0) is None
+    assert [queue.request_watch(0.0) for _ in range(40)].count(None) == 15 and queue.request_watch(
+        0.0
+    ) is None
 
 
 def test_a_service_tells_what_changed_and_begins_its_versions_anew() -> None:
@@ -200,14 +202,14 @@
     model = cache()
     assert model.handshake(0.0) == 0.01 and model.handshake(0.0) and model.handshake(0.0) is None
     first = model.command(1.0, "a", False)
-    assert (first.note, round(first.at, 3)) == ("miss", 1.6)
+    assert (first.cache_status, round(first.at, 3)) == ("miss", 1.6)
     assert model.command(1.0, "a", False) == (first.at, True, "pending")
     assert model.command(2.0, "a", False) == (2.1, True, "hit")
     for key in "bc":
         model.command(3.0, key, False)
-    assert model.command(9.0, "a", False).note == "miss"  # pushed out by two others
+    assert model.command(9.0, "a", False).cache_status == "miss"  # pushed out by two others
     assert model.report(9.01) == b"pending=1,served_ps=20"
-    answers = [model.command(20.0, "c", False).ran for _ in range(6)]
+    answers = [model.command(20.0, "c", False).executed for _ in range(6)]
     assert answers == [True] * 4 + [False] * 2
 
 
@@ -216,7 +218,7 @@
     assert [origin.fetch(at) for at in (100.0, 1.0, 1.1)] == [100.5, 1.5, 1.6]
     assert [origin.fetch(at) for at in (1.2, 1.2, 1.2)] == [2.0, 2.1, 2.5]  # they wait, two at a time
     assert origin.fetch(99.8) == pytest.approx(100.3) and origin.fetch(100.1) == pytest.approx(100.8)
-    assert origin.spans[0] == (100.0, 100.5) and len(origin.spans) == 8
+    assert origin.fetches[0] == (100.0, 100.5) and len(origin.fetches) == 8
 
 
 def test_a_cold_cache_warms_and_falls_over_when_pushed() -> None:
@@ -225,22 +227,22 @@
     assert model.capacity(0.0) == 100.0 and model.capacity(20.0) == 200.0
     for number in range(300):
         model.command(number / 300.0, "a", False)
-    assert model.falls and not model.command(1.1, "a", False).ran
+    assert model.collapses and not model.command(1.1, "a", False).executed
 
 
 def test_links_are_by_pair_and_direction_and_end() -> None:
     links = LinkFaults(1)
     one_way = LinkFault(frozenset({"p1"}), frozenset({"c1", "p2"}), {"cut_to": True})
     links.begin(1.0, one_way)
-    assert links.of("p1", "c1").cut_to and not links.of("p1", "c1").cut_back
-    assert links.of("p2", "p1").cut_back and not links.of("p2", "c1").cut_to
+    assert links.state_of("p1", "c1").cut_to and not links.state_of("p1", "c1").cut_back
+    assert links.state_of("p2", "p1").cut_back and not links.state_of("p2", "c1").cut_to
     links.end(2.0, one_way)
-    assert not links.of("p1", "c1").cut_to and links.spans == [(1.0, 2.0, "cut_to")]
+    assert not links.state_of("p1", "c1").cut_to and links.ended_faults == [(1.0, 2.0, "cut_to")]
 
 
 def test_each_proxy_sees_the_others_under_addresses_of_its_own() -> None:
-    assert all(number_of(address(number)) == number for number in range(1000))
-    assert number_of("127.0.0.1") is None and number_of("10.0.0.1") is None
+    assert all(proxy_number(proxy_address(number)) == number for number in range(1000))
+    assert proxy_number("127.0.0.1") is None and proxy_number("10.0.0.1") is None
 
 
 # The referee, on records made up here
@@ -402,12 +404,12 @@
         stage.open()
         stand = stage.caches["c0"]
         await stand.open()
-        stand.sizes = lambda key: 8 << 20
+        stand.value_size = lambda key: 8 << 20
         peer = socket.socket()
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        peer.bind((address(1), 0))
+        peer.bind((proxy_address(1), 0))
         peer.setblocking(False)
-        await stage.loop.sock_connect(peer, (address(1), stand.port))
+        await stage.loop.sock_connect(peer, (proxy_address(1), stand.port))
         for name in (b"1", b"2"):
             command = [b"C.GET", b"k", name, b"c=read,t=shop,d=900"]
             await stage.loop.sock_sendall(
@@ -415,12 +417,12 @@
             )
         while (
             0 not in stage.records.outs
-            or not stage.wires
-            or not next(iter(stage.wires)).transport.get_write_buffer_size()
+            or not stage.connections
+            or not next(iter(stage.connections)).transport.get_write_buffer_size()
         ):
             await asyncio.sleep(0.01)
-        wire = next(iter(stage.wires))
-        wire.outs[7] = None  # another, that waits behind what is written
+        wire = next(iter(stage.connections))
+        wire.replies_by_send[7] = None  # another, that waits behind what is written
         if shut:
             peer.shutdown(socket.SHUT_RDWR)
         await asyncio.sleep(0.1)
@@ -685,7 +687,7 @@
     def operate(stage: ScenarioRunner) -> None:
         time.sleep(7.0)
         run, offices = CliRunner(), stage.offices[:7]
-        source = f"{address(0)}:{stage.service.port}"
+        source = f"{proxy_address(0)}:{stage.service.port}"
         for name, bad in (("bad", True), ("good", False)):
             file = tmp_path / f"{name}.json"
             file.write_text(json.dumps(stage.document(2, "a", bad)))
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -239,8 +239,8 @@
     result = StartupSimulation(scenario).run()
     last_start_s = scenario.starts_within_s + scenario.stopped.end
     assert result.peak <= 1.5 * rate
-    assert len(result.lists) == proxies
-    assert max(result.lists) <= last_start_s + 1.3 * proxies / rate + ANSWER_TIMEOUT_S + 0.1
+    assert len(result.list_times) == proxies
+    assert max(result.list_times) <= last_start_s + 1.3 * proxies / rate + ANSWER_TIMEOUT_S + 0.1
 
 
 def test_restart_of_some_proxies_of_a_small_fleet_keeps_the_rate() -> None:
@@ -252,7 +252,7 @@
     scenarios = [StartupScenario(proxies=10, rate_per_s=3.0, seed=seed, starting=4) for seed in range(60)]
     results = [StartupSimulation(scenario).run() for scenario in scenarios]
     assert max(result.peak for result in results) <= 1.5 * 3
-    assert sum(asked_at < ANSWER_TIMEOUT_S for result in results for asked_at in result.asks) <= 20
+    assert sum(asked_at < ANSWER_TIMEOUT_S for result in results for asked_at in result.attempt_times) <= 20
 
 
 @pytest.mark.parametrize("starting", [1, 10, 40, 100, 210, 300])
@@ -264,9 +264,9 @@
     for seed in range(8):
         scenario = StartupScenario(proxies=300, rate_per_s=10.0, seed=seed, starting=starting)
         result = StartupSimulation(scenario).run()
-        assert len(result.lists) == starting
+        assert len(result.list_times) == starting
         peaks.append(result.peak)
-        last_lists_at.append(max(result.lists))
+        last_lists_at.append(max(result.list_times))
     assert sum(peaks) / 8 <= 15.0
     assert max(peaks) <= 20
     assert max(last_lists_at) <= (0.01 if starting == 1 else 1.3 * 300 / 10.0)
@@ -277,14 +277,14 @@
         scenario = StartupScenario(proxies=300, rate_per_s=10.0, seed=seed, service_silent=Span(0.0, 10.0))
         result = StartupSimulation(scenario).run()
         assert result.peak <= 15
-        assert max(result.lists) <= 10.0 + 1.3 * 30.0 + 3.0
+        assert max(result.list_times) <= 10.0 + 1.3 * 30.0 + 3.0
 
 
 def test_start_of_ten_thousand_proxies_keeps_the_bounds() -> None:
     result = StartupSimulation(StartupScenario(proxies=10_000, rate_per_s=100.0, seed=1)).run()
     assert result.peak <= 150
-    assert max(result.lists) <= 1.3 * 100.0
-    assert len(result.lists) == 10_000
+    assert max(result.list_times) <= 1.3 * 100.0
+    assert len(result.list_times) == 10_000
 
 
 def test_simulation_detects_injected_faults_in_slots_and_schedule() -> None:
