--- a/calicofall/testbed/emulated_servers.py
+++ b/calicofall/testbed/emulated_servers.py
@@ -1,7 +1,10 @@
-"""Sockets of the stand-ins, each behind the link that the stage holds.
+"""Sockets of the emulated cache nodes and discovery service, and relays for datagrams between proxies.
 
-Owns a connection's bytes on their way through the link. Must never decide what a stand-in does, or lose bytes
-that a cut holds back: silence ends with what was held.
+Bytes of each connection pass the emulated link between the proxy and the server in both directions. What a
+server does is decided by its model in `server_models`.
+
+Invariants:
+    Bytes that a cut link holds back are not lost: they are delivered, in order, once the link works again.
 """
 
 import asyncio
@@ -31,24 +34,29 @@
 
 LOOPBACK_DEVICE = b"lo\0"
 IP_PKTINFO = 8
-KEEPALIVE_INTERVAL_S = 2.0  # s between two empty lines of a watch
+KEEPALIVE_INTERVAL_S = 2.0  # between two empty lines on a watch
 
 
 def proxy_address(number: int) -> str:
-    """The loopback address under which proxy `number` sees the others: the stage tells by it who calls."""
+    """Return the loopback address at which a proxy reaches all servers and peers.
+
+    Each proxy has an address of its own, so that the local address of a connection identifies the caller.
+    """
     return f"127.{64 + number // 62_500}.{number // 250 % 250}.{number % 250 + 1}"
 
 
 def proxy_number(host: str) -> int | None:
+    """Return the number of the proxy that has an address, or None for any other address."""
     first, second, third, fourth = map(int, host.split("."))
     return (second - 64) * 62_500 + third * 250 + fourth - 1 if first == 127 and second >= 64 else None
 
 
 def loopback_socket(kind: int) -> socket.socket:
-    """A socket on all loopback addresses and no others."""
+    """Open a non-blocking socket of a kind (SOCK_STREAM, SOCK_DGRAM) on all loopback addresses."""
     sock = socket.socket(socket.AF_INET, kind)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    with suppress(OSError):  # elsewhere who calls from outside is cut, as the number of an address tells
+    # Where the system forbids this, connections to other addresses are aborted (see `proxy_number`).
+    with suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, LOOPBACK_DEVICE)
     sock.bind(("0.0.0.0", 0))
     if kind == socket.SOCK_STREAM:
@@ -58,7 +66,7 @@
 
 
 class Runner(Protocol):
-    """What wires need of the stage."""
+    """What emulated servers need of the scenario runner."""
 
     loop: asyncio.AbstractEventLoop
     links: LinkFaults
@@ -67,59 +75,75 @@
 
 
 class LinkPipe:
-    """One direction of a connection: what waits for the link, in order."""
+    """One direction of a connection: the bytes that the link delays or holds back, in order.
+
+    Args:
+        connection: The connection.
+        deliver: Called with the time at which the bytes were sent (s), the bytes and their tag.
+        is_return: Whether this is the direction from the server to the proxy.
+    """
 
     def __init__(
-        self, connection: "EmulatedConnection", deliver: Callable[[float, bytes, Any], None], back: bool
+        self, connection: "EmulatedConnection", deliver: Callable[[float, bytes, Any], None], is_return: bool
     ) -> None:
-        self.connection, self.deliver, self.back = connection, deliver, back
-        self.held: deque[tuple[float, bytes, Any]] = deque()
+        self.connection, self.deliver, self.is_return = connection, deliver, is_return
+        self.queue: deque[tuple[float, bytes, Any]] = deque()
         self.free_at, self.timer = 0.0, None
 
-    def enqueue(self, at: float, data: bytes, note: Any = None) -> None:
+    def enqueue(self, at: float, data: bytes, tag: Any = None) -> None:
+        """Take bytes that were sent at a time (s), and deliver them as soon as the link lets them through."""
         link = self.connection.link()
-        if link is HEALTHY_LINK and not self.held:
-            self.deliver(at, data, note)
+        if link is HEALTHY_LINK and not self.queue:
+            self.deliver(at, data, tag)
         else:
-            self.held.append((at, data, note))
+            self.queue.append((at, data, tag))
             self.deliver_due()
 
     def due_at(self, link: LinkState) -> float:
-        at, data, _ = self.held[0]
+        """Return when the first bytes of the queue have passed the link (s)."""
+        at, data, _ = self.queue[0]
         return max(at + link.delay, self.free_at) + (len(data) / link.rate if link.rate else 0.0)
 
     def deliver_due(self) -> None:
+        """Deliver what has passed the link, and schedule the rest unless the link is cut."""
         loop = self.connection.runner.loop
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        while self.held and not self.connection.closed:
+        while self.queue and not self.connection.closed:
             link = self.connection.link()
-            if link.cut_back if self.back else link.cut_to:
+            if link.cut_back if self.is_return else link.cut_to:
                 return
             due_at = self.due_at(link)
             if due_at > loop.time():
                 self.timer = loop.call_at(due_at, self.deliver_due)
                 return
             self.free_at = due_at
-            self.deliver(*self.held.popleft())
+            self.deliver(*self.queue.popleft())
 
 
 class EmulatedConnection(asyncio.Protocol):
-    """A connection that a proxy has opened to a stand-in."""
+    """A connection that a proxy has opened to an emulated server.
+
+    Attributes:
+        proxy: Name of the proxy; empty until the connection is established.
+        closed: Whether the connection is closed or half-closed by the proxy.
+    """
 
     def __init__(self, runner: Runner, server_name: str) -> None:
         self.runner, self.server_name, self.proxy, self.closed = runner, server_name, "", False
         self.from_proxy, self.to_proxy = (
-            LinkPipe(self, self.bytes_received, False),
-            LinkPipe(self, self.write_bytes, True),
+            LinkPipe(self, self.on_bytes, False),
+            LinkPipe(self, self.write, True),
         )
         self.transport: Any = None
 
     def link(self) -> LinkState:
+        """Return the present state of the link between the proxy and the server."""
         return self.runner.links.state_of(self.proxy, self.server_name)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Identify the proxy by the local address; abort where it is no proxy's or the link resets."""
         self.transport = transport
         number = proxy_number(transport.get_extra_info("sockname")[0])
         if number is None:
@@ -133,37 +157,42 @@
         self.on_established()
 
     def data_received(self, data: bytes) -> None:
+        """Pass bytes of the proxy to the link."""
         self.from_proxy.enqueue(self.runner.loop.time(), data)
 
-    def send(self, data: bytes, note: Any = None) -> None:
-        self.to_proxy.enqueue(self.runner.loop.time(), data, note)
+    def send(self, data: bytes, tag: Any = None) -> None:
+        """Send bytes to the proxy; `on_written` is called with the tag, if any, once they are written."""
+        self.to_proxy.enqueue(self.runner.loop.time(), data, tag)
 
-    def write_bytes(self, _at: float, data: bytes, note: Any) -> None:
+    def write(self, _at: float, data: bytes, tag: Any) -> None:
+        """Write bytes that have passed the link to the socket."""
         if not self.closed and not self.transport.is_closing():
             self.transport.write(data)
-            if note is not None:
-                self.on_written(note)
+            if tag is not None:
+                self.on_written(tag)
 
     def eof_received(self) -> bool:
-        """The proxy has shut it.
+        """Treat a connection that the proxy has half-closed as closed.
 
-        Guards against its passing for open until what the stage has to say on it is written or refused.
+        Otherwise it would count as open until what the server still has to write is written or refused.
         """
         self.connection_lost(None)
         return False
 
     def connection_lost(self, _reason: Exception | None) -> None:
+        """Close the connection once, whether by end of file or by loss."""
         if not self.closed:
             self.closed = True
             self.runner.connections.discard(self)
             self.on_closed()
 
     def abort(self) -> None:
+        """Reset the connection."""
         if self.transport is not None:
             self.transport.abort()
 
     def on_faults_changed(self) -> None:
-        """The faults in force are others."""
+        """Apply a change of the faults in force: reset, or deliver what the link now lets through."""
         if self.link().reset:
             self.abort()
         else:
@@ -171,20 +200,28 @@
             self.to_proxy.deliver_due()
 
     def on_established(self) -> None:
-        """The connection is up."""
+        """Handle a connection that is established; for subclasses."""
 
-    def bytes_received(self, at: float, data: bytes, _note: Any) -> None:
-        """Bytes that left the proxy at a time have come."""
+    def on_bytes(self, at: float, data: bytes, _tag: Any) -> None:
+        """Handle bytes that left the proxy at a time (s) and have passed the link; for subclasses."""
 
-    def on_written(self, note: Any) -> None:
-        """Bytes that were noted are handed to the system."""
+    def on_written(self, tag: Any) -> None:
+        """Handle that bytes sent with a tag were written to the socket; for subclasses."""
 
     def on_closed(self) -> None:
-        """The connection is over."""
+        """Handle the end of the connection; for subclasses."""
 
 
 class CacheEmulator:
-    """A cache on its socket."""
+    """An emulated cache node, which listens on its socket.
+
+    Args:
+        runner: The scenario runner.
+        name: Name of the endpoint.
+        model: What the node does and when.
+        value_size: Returns the size (bytes) of a key's value.
+        sends_load_reports: Whether answers carry the node's load.
+    """
 
     def __init__(
         self,
@@ -205,19 +242,22 @@
         self.port = self.sock.getsockname()[1]
 
     async def open(self) -> None:
+        """Accept connections."""
         await self.runner.loop.create_server(lambda: CacheConnection(self.runner, self), sock=self.sock)
 
 
 class CacheConnection(EmulatedConnection):
+    """A connection to an emulated cache node. Replies are sent in the order of the commands."""
+
     def __init__(self, runner: Runner, emulator: CacheEmulator) -> None:
         super().__init__(runner, emulator.name)
         self.emulator, self.receive_buffer, self.established_at = emulator, RingBuffer(), None
         self.parser = CommandParser(self.receive_buffer)
-        self.replies_by_send: dict[
-            int, bytes | None
-        ] = {}  # places of sends that are out, in order; their replies
+        # By index of a send in the history, in order: its reply. None: not ready; empty: being written.
+        self.replies_by_send: dict[int, bytes | None] = {}
 
     def on_established(self) -> None:
+        """Perform the handshake, or abort where the node accepts no more connections."""
         now = self.runner.loop.time()
         self.established_at = self.emulator.model.handshake(now)
         if self.established_at is None:
@@ -225,66 +265,70 @@
         else:
             self.runner.records.hands.append(UpstreamConnectionEvent(now, self.proxy, self.server_name, True))
 
-    def bytes_received(self, at: float, data: bytes, _note: Any) -> None:
+    def on_bytes(self, at: float, data: bytes, _tag: Any) -> None:
+        """Execute the commands that are complete; abort the connection after one that is malformed."""
         self.receive_buffer.write(data)
         try:
             while not self.closed and (command := self.parser.read()) is not resp.INCOMPLETE:
-                self.command(at, command)
+                self.execute_command(at, command)
         except (resp.ProtocolError, KeyError, ValueError, IndexError, TypeError):
             self.abort()
 
-    def command(self, at: float, parts: list[bytes]) -> None:
-        now, records = self.runner.loop.time(), self.runner.records
-        arguments = dict(pair.split(b"=", 1) for pair in parts[3].split(b","))
+    def execute_command(self, at: float, words: list[bytes]) -> None:
+        """Record a command that left the proxy at a time (s), execute it, and schedule its reply."""
+        now, history = self.runner.loop.time(), self.runner.records
+        arguments = dict(pair.split(b"=", 1) for pair in words[3].split(b","))
         name, method, idempotency_key = (
-            parts[2].decode(),
+            words[2].decode(),
             arguments[b"c"].decode(),
             arguments.get(b"k", b"").decode(),
         )
-        send_index, write = len(records.sends), parts[0] == b"C.SET"
-        key = parts[1].decode()
-        records.sends.append(
+        send_index, write = len(history.sends), words[0] == b"C.SET"
+        key = words[1].decode()
+        history.sends.append(
             UpstreamSend(
                 at, self.proxy, self.server_name, name, method, idempotency_key, float(arguments[b"d"]), key
             )
         )
         self.replies_by_send[send_index] = None
-        begins = max(now, self.established_at)
+        begins_at = max(now, self.established_at)
         size = self.emulator.value_size(key)
-        answer = self.emulator.model.command(begins, key, write, size > SMALL)
+        answer = self.emulator.model.command(begins_at, key, write, size > SMALL)
         if not answer.executed:
             self.reply(send_index, b"-BUSY\r\n")
             return
-        records.runs.append(ServerExecution(begins, self.server_name, name, method, idempotency_key))
-        value = b"of " + parts[2]
+        history.runs.append(ServerExecution(begins_at, self.server_name, name, method, idempotency_key))
+        value = b"of " + words[2]
         value += b"." * (0 if write else size - len(value))
-        note = (
+        status = (
             b"$%d\r\n%b\r\n" % (len(answer.cache_status), answer.cache_status.encode())
             if answer.cache_status
             else b"$-1\r\n"
         )
         report = self.emulator.model.report(now) if self.emulator.sends_load_reports else None
-        load = b"$%d\r\n%b\r\n" % (len(report), report) if report else b"$-1\r\n"
-        data = b"*3\r\n$%d\r\n%b\r\n%b%b" % (len(value), value, note, load)
+        load_report = b"$%d\r\n%b\r\n" % (len(report), report) if report else b"$-1\r\n"
+        data = b"*3\r\n$%d\r\n%b\r\n%b%b" % (len(value), value, status, load_report)
         self.runner.loop.call_at(answer.at, self.reply, send_index, data)
 
     def reply(self, send_index: int, data: bytes) -> None:
-        """Replies go out in the order of the commands."""
+        """Store the reply of a send, and send all replies that no earlier command delays."""
         if self.closed:
             return
         self.replies_by_send[send_index] = data
-        for first, held in list(self.replies_by_send.items()):
-            if held is None:
+        for index, reply in list(self.replies_by_send.items()):
+            if reply is None:
                 return
-            if held:
-                self.replies_by_send[first] = b""  # on its way
-                self.send(held, first + 1)
+            if reply:
+                self.replies_by_send[index] = b""  # being written
+                self.send(reply, index + 1)
 
-    def on_written(self, note: int) -> None:
-        self.replies_by_send.pop(note - 1, None)
-        self.runner.records.outs[note - 1] = self.runner.loop.time()
+    def on_written(self, tag: int) -> None:
+        """Record that a send is no longer in flight; the tag is its index plus 1."""
+        self.replies_by_send.pop(tag - 1, None)
+        self.runner.records.outs[tag - 1] = self.runner.loop.time()
 
     def on_closed(self) -> None:
+        """Record that nothing is in flight any more and that the connection is closed."""
         now = self.runner.loop.time()
         for send_index in self.replies_by_send:
             self.runner.records.outs[send_index] = now
@@ -296,7 +340,17 @@
 
 
 class DiscoveryEmulator:
-    """The list service on its socket, under an address for each proxy."""
+    """The emulated discovery service, which each proxy reaches at an address of its own.
+
+    Attributes:
+        watches: Watches that have begun.
+        documents: Published settings documents, by version.
+        down: Whether new connections are aborted.
+        silent: Whether connections stay open without any bytes being sent.
+        has_agents: Whether each proxy reaches the service through a local agent, which responds at once and
+            falls silent while the service is down.
+        watch_delay_s: Delay of the beginning of a watch (s).
+    """
 
     def __init__(
         self, runner: Runner, model: DiscoveryModel, cache_ports: Callable[[], dict[str, int]]
@@ -305,22 +359,24 @@
         self.sock = loopback_socket(socket.SOCK_STREAM)
         self.port = self.sock.getsockname()[1]
         self.watches: set[DiscoveryConnection] = set()
-        self.documents: list[dict] = []  # of the settings, by version
+        self.documents: list[dict] = []
         self.down = self.silent = False
-        self.has_agents, self.watch_delay_s = False, 0.0  # an agent a proxy; s that a watch takes to begin
+        self.has_agents, self.watch_delay_s = False, 0.0
         self.send_keepalives()
 
     async def open(self) -> None:
+        """Accept connections."""
         await self.runner.loop.create_server(lambda: DiscoveryConnection(self.runner, self), sock=self.sock)
 
     def send_keepalives(self) -> None:
-        """An empty line to every watch while nothing changes."""
+        """Send an empty line on all watches, those of the list and those of the settings, periodically."""
         if not self.silent:
             for watch in self.watches:
-                watch.send_chunk(b"\n", None)  # also on those on settings
+                watch.send_chunk(b"\n", None)
         self.runner.loop.call_later(KEEPALIVE_INTERVAL_S, self.send_keepalives)
 
     def encode_list_event(self, proxy: str, message: dict) -> bytes:
+        """Return a list event as a line, with the endpoints' addresses as the proxy reaches them."""
         host, cache_ports = proxy_address(int(proxy[1:])), self.cache_ports()
         entries = [
             entry | {"address": f"{host}:{cache_ports[entry['name']]}"} for entry in message["endpoints"]
@@ -328,28 +384,31 @@
         return orjson.dumps(message | {"endpoints": entries}) + b"\n"
 
     def publish_entries(self, *entries: dict) -> None:
-        """What becomes of caches, told to all watches at once, or late."""
+        """Publish changed endpoints on all watches, at once or after the delay of the model."""
         message = {"endpoints": list(entries), "snapshot": False}
         for entry in entries:
             message["index"] = self.model.put(entry)
         self.runner.loop.call_later(self.model.event_delay_s, self.broadcast_list_event, message)
 
     def broadcast_list_event(self, message: dict) -> None:
+        """Send a list event on all watches of the list."""
         for watch in [watch for watch in self.watches if not watch.watches_settings]:
             watch.send_list_event(message)
 
     def publish_document(self, document: dict) -> None:
+        """Store a settings document, and send it on all watches of the settings."""
         self.documents.append(document)
         for watch in [watch for watch in self.watches if watch.watches_settings]:
             watch.send_document(document)
 
     def hand_out_canary(self, document: dict) -> None:
-        """A document to be tried: told to the watches that are open, and kept nowhere."""
+        """Send a canary document on the watches of the settings that are open; it is not stored."""
         for watch in [watch for watch in self.watches if watch.watches_settings]:
             watch.send_chunk(orjson.dumps(document) + b"\n", None)
 
     def go_down(self) -> None:
-        if self.has_agents:  # they live on, and have nothing to say
+        """Abort all connections and refuse new ones; local agents keep theirs open and send nothing."""
+        if self.has_agents:
             self.silent = True
             return
         self.down = True
@@ -359,7 +418,7 @@
             connection.abort()
 
     def end_silence(self) -> None:
-        """Silence is over: who waits is heard."""
+        """Respond again, first to the requests and watches that wait."""
         self.silent = False
         for connection in [
             connection
@@ -370,17 +429,21 @@
 
 
 class DiscoveryConnection(EmulatedConnection):
+    """A connection to the emulated discovery service: a watch, or a document that is published."""
+
     def __init__(self, runner: Runner, emulator: DiscoveryEmulator) -> None:
         super().__init__(runner, "list")
         self.emulator, self.received, self.from_version, self.watch_begun = emulator, b"", None, False
-        self.watches_settings = False  # a watch on the settings, not on the list
-        self.withheld: list[dict] = []  # news while the service is silent
+        self.watches_settings = False  # False: a watch of the endpoint list
+        self.withheld: list[dict] = []  # list events that came while the service is silent
 
     def on_established(self) -> None:
+        """Abort while the service is down."""
         if self.emulator.down:
             self.abort()
 
-    def bytes_received(self, at: float, data: bytes, _note: Any) -> None:
+    def on_bytes(self, at: float, data: bytes, _tag: Any) -> None:
+        """Read a POST, or the request of a watch, which is recorded once its headers are complete."""
         self.received += data
         if self.received.startswith(b"POST"):
             self.handle_post()
@@ -394,21 +457,24 @@
             self.proceed()
 
     def handle_post(self) -> None:
-        """A document is published: the one that follows the latest is taken."""
-        received, ended, body = self.received.partition(b"\r\n\r\n")
-        size = int(received.lower().partition(b"content-length:")[2].split(b"\r\n")[0] or 0)
-        if ended and len(body) >= size:
+        """Accept a settings document that follows the latest one; answer 409 to any other."""
+        headers, separator, body = self.received.partition(b"\r\n\r\n")
+        size = int(headers.lower().partition(b"content-length:")[2].split(b"\r\n")[0] or 0)
+        if separator and len(body) >= size:
             document, latest = orjson.loads(body), self.emulator.documents[-1:]
-            taken = document["after"] == (latest[0]["version"] if latest else 0) and not self.emulator.silent
-            if taken and self.received.split(b" ")[1].endswith(b"/trial"):
+            accepted = (
+                document["after"] == (latest[0]["version"] if latest else 0) and not self.emulator.silent
+            )
+            if accepted and self.received.split(b" ")[1].endswith(b"/trial"):
                 self.emulator.hand_out_canary(document)
-            elif taken:
+            elif accepted:
                 self.emulator.publish_document(document)
-            status_line = b"200 OK" if taken else b"409 Conflict"
-            self.send(b"HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n" % status_line)
+            status = b"200 OK" if accepted else b"409 Conflict"
+            self.send(b"HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n" % status)
             self.transport.close()
 
     def proceed(self) -> None:
+        """Begin a watch that was requested, or send what a watch is owed, unless the service is silent."""
         if self.emulator.silent or self.closed or self.from_version is None:
             return
         if self.watch_begun:
@@ -421,18 +487,19 @@
             self.watch_begun = True
             self.begin_watch()
             return
-        begins = self.emulator.model.request_watch(now)
-        if begins is None:
+        begins_at = self.emulator.model.request_watch(now)
+        if begins_at is None:
             self.runner.records.asked.append(DiscoveryCall(now, self.proxy, "refused"))
-            after = self.emulator.model.retry_after_s
-            status_line = b"Retry-After: %d\r\n" % after if after is not None else b""
-            self.send(b"HTTP/1.1 503 No Room\r\n%bContent-Length: 0\r\n\r\n" % status_line)
+            retry_after_s = self.emulator.model.retry_after_s
+            header = b"Retry-After: %d\r\n" % retry_after_s if retry_after_s is not None else b""
+            self.send(b"HTTP/1.1 503 No Room\r\n%bContent-Length: 0\r\n\r\n" % header)
             self.transport.close()
         else:
             self.watch_begun = True
-            self.runner.loop.call_at(begins + self.emulator.watch_delay_s, self.begin_watch)
+            self.runner.loop.call_at(begins_at + self.emulator.watch_delay_s, self.begin_watch)
 
     def begin_watch(self) -> None:
+        """Send the headers and the first events of a watch."""
         if self.closed:
             return
         if not self.watches_settings:
@@ -447,6 +514,7 @@
         self.send_list_event(self.emulator.model.since(self.from_version if self.from_version >= 0 else None))
 
     def send_list_event(self, message: dict) -> None:
+        """Send a list event, or withhold it while the service is silent."""
         if self.emulator.silent:
             self.withheld.append(message)
             return
@@ -454,45 +522,62 @@
         self.send_chunk(self.emulator.encode_list_event(self.proxy, message), (states, message["snapshot"]))
 
     def send_document(self, document: dict) -> None:
+        """Send a settings document, tagged with its version."""
         self.send_chunk(orjson.dumps(document) + b"\n", document["version"])
 
-    def send_chunk(self, data: bytes, note: Any) -> None:
-        self.send(b"%x\r\n%b\r\n" % (len(data), data), note)
+    def send_chunk(self, data: bytes, tag: Any) -> None:
+        """Send a chunk of the response."""
+        self.send(b"%x\r\n%b\r\n" % (len(data), data), tag)
 
-    def on_written(self, note: tuple | int) -> None:
-        if isinstance(note, int):
-            self.runner.records.documents.append((self.runner.loop.time(), self.proxy, note))
+    def on_written(self, tag: tuple | int) -> None:
+        """Record a settings document (tag: its version) or a list event that was handed to the proxy."""
+        if isinstance(tag, int):
+            self.runner.records.documents.append((self.runner.loop.time(), self.proxy, tag))
             return
-        self.runner.records.told.append(ListEvent(self.runner.loop.time(), self.proxy, *note))
+        self.runner.records.told.append(ListEvent(self.runner.loop.time(), self.proxy, *tag))
 
     def on_closed(self) -> None:
+        """Forget the watch."""
         self.emulator.watches.discard(self)
         if self.watch_begun and not self.watches_settings and not self.emulator.has_agents:
             self.emulator.model.ended()
 
 
 class DatagramRelay:
-    """Datagrams between proxies: each sends to the stage, which hands them on over the pair's link."""
+    """The socket that one proxy sends its datagrams to; they are forwarded over the links to its peers.
+
+    Args:
+        runner: The scenario runner.
+        number: Number of the proxy.
+        relay_of: Returns the relay of a peer, and the port at which the peer receives datagrams.
+    """
 
-    def __init__(self, runner: Runner, number: int, to: Callable[[int], tuple["DatagramRelay", int]]) -> None:
-        self.runner, self.number, self.to = runner, number, to
+    def __init__(
+        self, runner: Runner, number: int, relay_of: Callable[[int], tuple["DatagramRelay", int]]
+    ) -> None:
+        self.runner, self.number, self.relay_of = runner, number, relay_of
         self.sock = loopback_socket(socket.SOCK_DGRAM)
         self.sock.setsockopt(socket.IPPROTO_IP, IP_PKTINFO, 1)
         self.port = self.sock.getsockname()[1]
         runner.loop.add_reader(self.sock.fileno(), self.receive_datagrams)
 
     def receive_datagrams(self) -> None:
+        """Forward the datagrams that have arrived, a bounded number per call.
+
+        The destination address, which IP_PKTINFO yields, identifies the peer.
+        """
         for _ in range(32):
             try:
-                data, notes, _, _ = self.sock.recvmsg(2048, 64)
+                data, control_messages, _, _ = self.sock.recvmsg(2048, 64)
             except OSError:
                 return
-            for _, kind, info in notes:
-                peer = proxy_number(socket.inet_ntoa(info[8:12])) if kind == IP_PKTINFO else None
+            for _, kind, packet_info in control_messages:
+                peer = proxy_number(socket.inet_ntoa(packet_info[8:12])) if kind == IP_PKTINFO else None
                 if peer is not None:
                     self.forward(peer, data)
 
     def forward(self, peer: int, data: bytes) -> None:
+        """Record a datagram, and deliver it to a peer after the delay of the link unless it is lost there."""
         links = self.runner.links
         self.runner.records.datagrams.append((self.runner.loop.time(), len(data)))
         link = links.state_of(f"p{self.number}", f"p{peer}")
@@ -500,11 +585,13 @@
             self.runner.loop.call_later(link.delay, self.deliver, peer, data)
 
     def deliver(self, peer: int, data: bytes) -> None:
-        relay, port = self.to(peer)
-        info = struct.pack("I4s4s", 0, socket.inet_aton(proxy_address(self.number)), bytes(4))
+        """Send a datagram to a peer, from the address at which the peer reaches this proxy."""
+        relay, port = self.relay_of(peer)
+        packet_info = struct.pack("I4s4s", 0, socket.inet_aton(proxy_address(self.number)), bytes(4))
         with suppress(OSError):
-            relay.sock.sendmsg([data], [(socket.IPPROTO_IP, IP_PKTINFO, info)], 0, ("127.0.0.1", port))
+            relay.sock.sendmsg([data], [(socket.IPPROTO_IP, IP_PKTINFO, packet_info)], 0, ("127.0.0.1", port))
 
     def close(self) -> None:
+        """Close the socket."""
         self.runner.loop.remove_reader(self.sock.fileno())
         self.sock.close()
--- a/calicofall/testbed/runner.py
+++ b/calicofall/testbed/runner.py
@@ -428,7 +428,7 @@
         elif do == "service_room":
             self.service.model.watches_per_s = event.amount
         elif do == "move":
-            self.clients.through = self.group(event.who)
+            self.clients.first_tenant_proxies = self.group(event.who)
         elif do == "publish":
             version = max((one.version for one in self.records.published), default=0) + 1
             self.records.published.append(PublishedVersion(self.loop.time(), version, event.zones))
