--- a/calicofall/testbed/__init__.py
+++ b/calicofall/testbed/__init__.py
@@ -1,5 +1,8 @@
-"""The stage: many processes of the program, stand-ins for all they speak to, faults between them, a referee.
+"""The testbed: many proxy processes, emulated servers and clients, injected faults and an invariant checker.
 
-Owns nothing itself. Models hold no I/O; one shell plays them on sockets. Nothing here is loaded by a proxy
-that serves, and the referee shares nothing with what it judges but the reading of frames.
+Models of servers do no I/O; the emulated servers execute them on sockets, and the simulations in one process.
+
+Invariants:
+    A proxy that serves loads nothing of this package.
+    The checker shares no code with the proxies that it checks but the parser of protocol frames.
 """
--- a/calicofall/testbed/agreement_simulation.py
+++ b/calicofall/testbed/agreement_simulation.py
@@ -25,14 +25,14 @@
 from calicofall.testbed.simulation import SimulatedNode, Simulation
 
 LEASE_S = 3.0
-DRIFT = 0.01  # the part by which two clocks differ at most in the length of a span
+DRIFT = 0.01  # largest fraction by which two clocks differ in the length of a duration
 POLL_INTERVAL_S = 0.5  # between two polls of the source by a proxy
 CHECK_INTERVAL_S = 0.05  # between two checks of the versions that proxies act on
 FIRST_POLL_WITHIN_S = 0.05  # of the start of a proxy
 SOURCE = -1  # number of the source where links are cut
-MIN_VOTERS = 3  # which a random walk leaves
-LONGEST_FAULT_S = 10.0  # of a random walk: no fault and no message kept by a link lasts longer
-LATEST_ONLY_PROBABILITY = 0.1  # of a poll that begins with the latest version
+MIN_VOTERS = 3  # a random walk leaves at least so many
+LONGEST_FAULT_S = 10.0  # in a random walk no fault, and no delay of a message, lasts longer
+LATEST_ONLY_PROBABILITY = 0.1  # of a poll that returns the latest version only
 
 MakeAgreement = Callable[..., ConfigurationAgreement]
 
@@ -42,10 +42,10 @@
     """What links do to messages.
 
     Attributes:
-        lost: part of the messages that are lost.
-        duplicated: part of the messages that arrive twice.
+        lost: fraction of the messages that are lost.
+        duplicated: fraction of the messages that arrive twice.
         delay_s: scale of the delay of all messages (s).
-        stuck: part of the messages that are kept for up to 9 s.
+        stuck: fraction of the messages that are delayed by up to 9 s more.
     """
 
     lost: float = 0.0
@@ -55,7 +55,7 @@
 
 
 def agreement_of(node: SimulatedNode) -> ConfigurationAgreement:
-    """The instance of a proxy's present incarnation."""
+    """Return the instance of a proxy's present incarnation."""
     instance: ConfigurationAgreement = node.instance
     return instance
 
@@ -64,13 +64,13 @@
     """Proxies of a fleet that agree on the versions that a source publishes.
 
     Attributes:
-        documents: all that was published, by version.
-        source: the latest version that the source gives.
+        documents: all published versions, by number.
+        source: the latest version that the source returns.
         source_up: whether the source responds.
         longest_contradiction_s: the longest time for which two proxies acted on contradicting versions (s).
         longest_stale_s: the longest time for which a proxy acted on a version alone after a quorum held a
             newer one (s).
-        checks: how many times it was checked what a running proxy may act on.
+        checks: how many times the lease of a running proxy was checked.
     """
 
     def __init__(
@@ -81,11 +81,11 @@
         links: LinkFaults | None = None,
         make: MakeAgreement = ConfigurationAgreement,
     ) -> None:
-        """Starts all proxies on version 1.
+        """Start all proxies on version 1.
 
         Args:
             fleet: number of proxies.
-            seed: of all that is drawn.
+            seed: of everything that is drawn.
             voters: how many of the proxies are voters; all by default.
             links: what links do to messages; delays alone by default.
             make: makes an instance, with the arguments of `ConfigurationAgreement`.
@@ -109,7 +109,7 @@
     # Proxies
 
     def begin(self, node: SimulatedNode) -> None:
-        """Starts a proxy, or restarts it."""
+        """Start a proxy, or restart it."""
         super().begin(node)
         self.at(
             self.now + self.random_generator.uniform(0.0, FIRST_POLL_WITHIN_S),
@@ -121,24 +121,26 @@
     def build(
         self, node: SimulatedNode, incarnation: int, random_generator: Random
     ) -> ConfigurationAgreement:
-        """Makes the instance of an incarnation."""
+        """Return the instance of an incarnation."""
         return self.make(node.me, incarnation, node.clock(self.now), LEASE_S, DRIFT, random_generator)
 
     def poll(self, node: SimulatedNode, incarnation: int) -> None:
-        """Hands a proxy what is new at the source, if it reaches it, and polls again later."""
+        """Hand a proxy the new versions of the source, if it is reachable, and schedule the next poll."""
         if not self.alive(node, incarnation, self.poll, node, incarnation):
             return
         if self.source_up and not (self.cuts[node.me, SOURCE] or self.cuts[SOURCE, node.me]):
             agreement = agreement_of(node)
-            latest = agreement.highest_held or self.source - 1  # without any, the latest is enough
+            latest = (
+                agreement.highest_held or self.source - 1
+            )  # a proxy without a version needs the latest only
             if self.random_generator.random() < LATEST_ONLY_PROBABILITY:
-                latest = max(latest, self.source - 1)  # as a watch does that broke off and begins anew
+                latest = max(latest, self.source - 1)  # as after a watch that was re-established
             for version in range(latest + 1, self.source + 1):
                 agreement.on_document(node.clock(self.now), self.documents[version])
         self.at(self.now + POLL_INTERVAL_S, self.poll, node, incarnation)
 
     def deliver(self, node: SimulatedNode, message: AgreementMessage) -> None:
-        """Hands a message to a proxy, and sends what it responds."""
+        """Hand a message to a proxy, and send its response."""
         now = node.clock(self.now)
         if message.is_request:
             self.send(node.me, message.sender, agreement_of(node).on_request(now, message))
@@ -146,13 +148,13 @@
             agreement_of(node).on_response(now, message)
 
     def on_resumed(self) -> None:
-        """Checks what a proxy that was stopped would do before it has seen what came meanwhile."""
+        """Check what a resumed proxy may act on before it receives what was sent meanwhile."""
         self.check()
 
     # Source
 
     def publish(self, voters: frozenset[int] | None = None) -> int:
-        """Publishes a version that follows the last one; returns its number."""
+        """Publish a version that follows the last one, and return its number."""
         previous = self.documents[max(self.documents)]
         version = previous.version + 1
         self.documents[version] = ConfigurationVersion(
@@ -164,12 +166,12 @@
     # Checks
 
     def check_periodically(self) -> None:
-        """Checks now, and again after a while."""
+        """Check now and at every interval from now on."""
         self.check()
         self.at(self.now + CHECK_INTERVAL_S, self.check_periodically)
 
     def check(self) -> None:
-        """Records what all proxies may act on now, and what contradicts."""
+        """Record contradictions and stale versions among those that proxies may act on now."""
         acted_on = self._versions_acted_on()
         self._record_quorums()
         self._record_contradictions(acted_on)
@@ -179,20 +181,20 @@
                 self.longest_stale_s = max(self.longest_stale_s, self.now - min(newer))
 
     def agreed(self) -> bool:
-        """Whether all proxies act on the source's version alone."""
+        """Return whether all proxies act on the source's version alone."""
         return all(self.lease_status(node) == ((self.source,), True) for node in self.fleet)
 
     def lease_status(self, node: SimulatedNode) -> LeaseStatus:
-        """What a proxy may act on now."""
+        """Return what a proxy may act on now."""
         return agreement_of(node).lease_status(node.clock(self.now))
 
     @property
     def bound(self) -> float:
-        """How long (s) a proxy that hears nothing may act on a version after a quorum held a newer one."""
+        """How long (s) an isolated proxy may act on a version after a quorum held a newer one."""
         return grant_duration(LEASE_S, DRIFT)
 
     def _versions_acted_on(self) -> set[frozenset[int]]:
-        """The sets of versions that proxies with a lease act on; which proxies they are does not matter."""
+        """Return the distinct sets of versions that proxies with a lease act on."""
         acted_on: set[frozenset[int]] = set()
         for node in self.fleet:
             if not node.stopped:
@@ -212,7 +214,7 @@
                 self.quorum_held_at.setdefault(version, self.now)
 
     def _record_contradictions(self, acted_on: set[frozenset[int]]) -> None:
-        """Two proxies contradict each other where no version is obeyed by both."""
+        """Record how long proxies contradict each other: no version is among those of both."""
         pairs = {frozenset(pair) for pair in combinations(acted_on, 2) if not pair[0] & pair[1]}
         for pair in pairs:
             since = self.contradicting_since.setdefault(pair, self.now)
@@ -226,13 +228,13 @@
 
 
 class RandomWalk:
-    """Random steps of a simulation: faults drawn from its seed, and versions published meanwhile."""
+    """Random steps of a simulation: faults and publications drawn from its seed."""
 
     def __init__(self, simulation: AgreementSimulation) -> None:
         self.simulation = simulation
         self.random_generator = simulation.random_generator
         self.members = range(len(simulation.fleet))
-        # What is drawn is an index of this table, so that its order belongs to what a seed means.
+        # An index of this table is drawn: a different order changes the walk of every seed.
         self.steps: tuple[Callable[[int, float], None], ...] = (
             self._publish,
             self._stop,
@@ -246,7 +248,7 @@
         )
 
     def step(self) -> None:
-        """Lets some time pass, then injects one fault or publishes."""
+        """Let some time pass, then inject a fault or publish a version."""
         self.simulation.run(self.simulation.now + self.random_generator.uniform(0.1, 1.5))
         step = self.steps[self.random_generator.randrange(len(self.steps))]
         member = self.random_generator.randrange(len(self.members))
@@ -272,7 +274,7 @@
         )
 
     def _toggle_source(self, member: int, span: float) -> None:
-        """The source goes down, or comes back, perhaps with an older version."""
+        """Take the source down or up again, in half of the cases with an older version."""
         self.simulation.source_up = not self.simulation.source_up
         if self.random_generator.random() < 0.5:
             self.simulation.source = self.random_generator.randint(1, self.simulation.source)
@@ -283,7 +285,7 @@
                 self.simulation.stop(other, span)
 
     def _publish_and_restart_many(self, member: int, span: float) -> None:
-        """Proxies forget a version while it is being agreed on; the source may go back to the one before."""
+        """Restart proxies while a version is being agreed on; the source may return to the one before."""
         self.simulation.publish()
         self.simulation.run(self.simulation.now + self.random_generator.uniform(0.0, 1.5))
         self.simulation.source -= self.random_generator.random() < 0.5
@@ -292,7 +294,7 @@
                 self.simulation.restart(other)
 
     def _change_voter(self, member: int, span: float) -> None:
-        """Publishes a version with one voter more or fewer."""
+        """Publish a version with one voter more or fewer, as far as enough voters remain."""
         if len(self.members) > MIN_VOTERS and self.random_generator.random() < 0.3:
             voters = self.simulation.documents[max(self.simulation.documents)].voters
             changed = voters ^ {member}
@@ -300,10 +302,10 @@
 
 
 def run_random_walk(simulation: AgreementSimulation, seconds: float, calm: float = 12.0) -> None:
-    """Takes a simulation through random faults, then lets it agree.
+    """Run a simulation with random faults, then without, so that the proxies can agree.
 
     Args:
-        simulation: to be run; faults are drawn from its seed.
+        simulation: the simulation; faults are drawn from its seed.
         seconds: simulated time until which faults are injected.
         calm: time without faults at the end (s).
     """
@@ -321,14 +323,14 @@
 
 
 class Fault(NamedTuple):
-    """A fault: what to call it, and what injects it."""
+    """A fault: its name, and a function that injects it."""
 
     name: str
     inject: Callable[[AgreementSimulation], object]
 
 
 class Schedule(NamedTuple):
-    """Two faults, and the time between them (s); the first comes as a version is published."""
+    """Two faults and the time between them; the first follows shortly after a version is published."""
 
     first: Fault
     wait_s: float
@@ -343,10 +345,10 @@
     return Fault(f"stop {member} for {span:g} s", lambda simulation: simulation.stop(member, span))
 
 
-def _isolate(member: int, way: str, span: float) -> Fault:
+def _isolate(member: int, direction: str, span: float) -> Fault:
     return Fault(
-        f"isolate {member} ({way}) for {span:g} s",
-        lambda simulation: simulation.isolate(member, way, span),
+        f"isolate {member} ({direction}) for {span:g} s",
+        lambda simulation: simulation.isolate(member, direction, span),
     )
 
 
@@ -359,7 +361,7 @@
 
 
 def schedules() -> list[Schedule]:
-    """Every pair of faults for three proxies, the first as a version is published, one later."""
+    """Return every pair of faults for three proxies, with different times between them."""
     faults = [
         Fault("publish", lambda simulation: simulation.publish()),
         Fault("older version", _return_to_first_version),
@@ -371,7 +373,9 @@
             _restart(member),
             _restart(member, (member + 1) % 3),
         ]
-        faults += [_isolate(member, way, span) for way in ("in", "out", "both") for span in (1.5, 5.0)]
+        faults += [
+            _isolate(member, direction, span) for direction in ("in", "out", "both") for span in (1.5, 5.0)
+        ]
     return [
         Schedule(first, wait, second)
         for first in faults
@@ -381,7 +385,7 @@
 
 
 def run_schedule(schedule: Schedule, make: MakeAgreement = ConfigurationAgreement) -> AgreementSimulation:
-    """Takes three proxies through a schedule, then lets them agree; returns the simulation at its end."""
+    """Run three proxies through a schedule, then without faults; return the simulation at its end."""
     simulation = AgreementSimulation(3, 1, make=make)
     simulation.run(4.5)
     simulation.publish()
--- a/calicofall/testbed/hot_key_simulation.py
+++ b/calicofall/testbed/hot_key_simulation.py
@@ -1,7 +1,7 @@
-"""Many instances of hot key detection in one process: proxies that each see few requests for each key.
+"""Simulation of hot key detection: many instances in one process, each with few requests for each key.
 
 Invariants:
-- How often the fleet asks for a key is never told to an instance.
+    An instance sees its own requests and messages, never the request rate of a key in the whole fleet.
 """
 
 from collections.abc import Callable
@@ -17,8 +17,8 @@
 class HotKeySimulation(Simulation):
     """A fleet whose proxies each see `rate` requests a second.
 
-    `key_fractions` holds, by key, the fraction of all requests that are for it; the others are for
-    keys that come once. One endpoint can serve `endpoint_capacity_per_s` requests a second.
+    `key_fractions` holds, by key, its fraction of all requests; the others are for keys that are requested
+    once. One endpoint can serve `endpoint_capacity_per_s` requests a second.
     """
 
     def __init__(  # noqa: PLR0913 -- tests name these as keywords
@@ -42,7 +42,7 @@
             self.begin(node)
 
     def build(self, node: SimulatedNode, incarnation: int, random_generator: Random) -> HotKeyDetector:
-        """A new instance for a node, which begins to see requests."""
+        """Return a new instance for a node, which begins to receive requests."""
         self.at(self.now, self.arrive, node, node.incarnation)
         capacity = self.endpoint_capacity_per_s
         return self.make(
@@ -50,23 +50,23 @@
         )
 
     def deliver(self, node: SimulatedNode, message: KeyCountMessage) -> None:
-        """Hands a message to a node's instance, and sends its answer."""
+        """Hand a message to a node's instance, and send its answer."""
         instance: HotKeyDetector = node.instance
         answer = instance.on_message(node.clock(self.now), message)
         if answer is not None:
             self.send(node.me, message.sender, answer)
 
     def tick_node(self, node: SimulatedNode) -> tuple[list[tuple[int, KeyCountMessage]], float]:
-        """Calls an instance, and records the keys that it finds."""
+        """Call an instance, and record the hot keys that it finds."""
         instance: HotKeyDetector = node.instance
         others = [other for other in range(len(self.fleet)) if other != node.me]
-        out = instance.wake(node.clock(self.now), others)
+        result = instance.wake(node.clock(self.now), others)
         for key in instance.hot_keys:
             self.first_found_at.setdefault(key, {}).setdefault(node.me, self.now)
-        return out
+        return result
 
     def arrive(self, node: SimulatedNode, incarnation: int) -> None:
-        """A request comes to a proxy, and the next one is scheduled."""
+        """Record a request at a proxy, and schedule the next one."""
         if not self.alive(node, incarnation, self.arrive, node, incarnation):
             return
         instance: HotKeyDetector = node.instance
@@ -74,7 +74,7 @@
         self.at(self.now + self.random_generator.expovariate(self.rate), self.arrive, node, incarnation)
 
     def draw_key(self) -> int:
-        """A key by the fractions, or one that comes once."""
+        """Draw a key by the fractions, or return one that is requested once."""
         self.last_unique_key += 1
         cumulative = accumulate(self.key_fractions.values())
         draw = self.random_generator.random()
@@ -84,6 +84,6 @@
         return self.last_unique_key
 
     def finding_fraction(self, key: int) -> float:
-        """The fraction of the proxies that hold a key to be hot now."""
+        """Return the fraction of the proxies that consider a key hot now."""
         instances: list[HotKeyDetector] = [node.instance for node in self.fleet]
         return sum(key in instance.hot_keys for instance in instances) / len(instances)
--- a/calicofall/testbed/loss_breakdown.py
+++ b/calicofall/testbed/loss_breakdown.py
@@ -22,9 +22,9 @@
 ProxyLogs = dict[str, list[LogLine]]  # by proxy
 
 PAIRS = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
-SETTLE_S = 1.0  # after an endpoint recovers, in which it may still be ejected
-MAX_PREFIX_LENGTH = 32  # characters before a line, where whoever keeps a log may write a time
-DETECTED_SHARE = 0.95  # of the proxies, from which on a faulty endpoint counts as detected
+SETTLE_S = 1.0  # after a fault ends; an endpoint that is still ejected then is not ejected in error
+MAX_PREFIX_LENGTH = 32  # characters before a line, such as the time that a log collector writes
+DETECTED_SHARE = 0.95  # a faulty endpoint is detected when this fraction of the proxies has ejected it
 LOG_SUFFIXES = (".log", ".txt", ".err")
 ENDPOINT_FAULTS = ("sick", "sick_large", "cold", "remove", "drain", "add")
 LINK_FAULTS = ("cut", "slow", "delay", "reset")
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultyPeriod:
-    """When something is wrong with an endpoint or the way to it, s since the start of the run."""
+    """A time (s since the start of the run) in which an endpoint or the links to it are faulty."""
 
     begin: float
     end: float
@@ -61,7 +61,7 @@
 def parse_log_file(file: Path) -> Iterator[LogLine]:
     """Yield the lines of a log as names and values.
 
-    Other lines are skipped, as is what stands before a line: whoever keeps a log may write a time there.
+    Lines of other programs are skipped, and so is a prefix such as the time that a log collector writes.
     """
     with file.open(errors="replace") as text:
         for line in text:
@@ -71,7 +71,7 @@
 
 def read_logs(folder: Path) -> ProxyLogs:
     """Return the logs in a folder by proxy: a folder each, as the testbed keeps them, or a file each."""
-    files = {one.name: one / "log" if one.is_dir() else one for one in sorted(folder.iterdir())}
+    files = {entry.name: entry / "log" if entry.is_dir() else entry for entry in sorted(folder.iterdir())}
     return {
         name: list(parse_log_file(file))
         for name, file in files.items()
@@ -90,12 +90,12 @@
 
 
 def _attempt_sent_after_ms(attempt: str) -> float:
-    """Return after which time an attempt of a log line was sent, from `endpoint:outcome:ms`."""
+    """Return how long after the request an attempt was sent (ms), from `endpoint:outcome:ms`."""
     return float(attempt.rsplit(":", 2)[2])
 
 
 def loss_cause(line: LogLine) -> str:
-    """Return why a request was of no use to its client, from the `rpc` line of the proxy."""
+    """Return why a request was not served in time, from the `rpc` line of the proxy."""
     attempts = line["sends"].split(",") if line.get("sends") else []
     if line["answer"] == "completed":
         if len(attempts) > 1:
@@ -112,21 +112,21 @@
     """Return the requests of clients that were not served in time, by cause; they sum up to all lost."""
     latency_objective_s = scenario.traffic.soft_ms / 1000.0
     line_by_id = {line["id"]: line for lines in logs.values() for line in lines if line.get("event") == "rpc"}
-    kind_by_id = {answer.id: answer.kind for answer in history.answers if answer.id}
+    answer_kind_by_id = {answer.id: answer.kind for answer in history.answers if answer.id}
     causes: Counter[str] = Counter()
     for request in history.intents:
         if request.done is None or request.done > request.at + latency_objective_s:
-            causes[_cause_of_lost_request(request.last, kind_by_id, line_by_id)] += 1
+            causes[_cause_of_lost_request(request.last, answer_kind_by_id, line_by_id)] += 1
     return causes
 
 
 def _cause_of_lost_request(
-    last_attempt: str, kind_by_id: dict[str, str], line_by_id: dict[str, LogLine]
+    last_attempt: str, answer_kind_by_id: dict[str, str], line_by_id: dict[str, LogLine]
 ) -> str:
     line = line_by_id.get(last_attempt)
     if not last_attempt:
         return "no proxy that serves"
-    if kind_by_id.get(last_attempt) in ("crossed", "closed", "none"):
+    if answer_kind_by_id.get(last_attempt) in ("crossed", "closed", "none"):
         return "its proxy died"
     if line is None:
         return "not in the proxies' logs"
@@ -136,7 +136,7 @@
 
 
 def summarize_answers(logs: ProxyLogs) -> dict[str, Any]:
-    """Return the answers in logs alone, as of proxies outside the testbed; each attempt counts by itself."""
+    """Summarize the answers in logs of proxies, also outside the testbed; each attempt counts by itself."""
     causes: Counter[str] = Counter()
     by_method: dict[str, Counter[str]] = defaultdict(Counter)
     answers = 0
@@ -159,7 +159,7 @@
 
 
 def answers_by_period(logs: ProxyLogs, period_s: float) -> list[AnswersInPeriod]:
-    """Return the answers in logs alone by time; an answer counts when it was given."""
+    """Return the answers in logs by the period in which they were given."""
     answers = sorted(
         (float(line["at"]), "" if answered_in_time(line) else loss_cause(line))
         for lines in logs.values()
@@ -189,7 +189,7 @@
 
 
 def faulty_periods(scenario: Scenario) -> dict[str, list[FaultyPeriod]]:
-    """Return by endpoint when the scenario's events make it, or the way to it, faulty."""
+    """Return by endpoint when the events of the scenario make it, or the links to it, faulty."""
     periods: dict[str, list[FaultyPeriod]] = defaultdict(list)
     fleet = scenario.fleet
     for event in scenario.event:
@@ -206,11 +206,11 @@
     return periods
 
 
-def _ejections(proxy: str, lines: list[LogLine], offset: float, run_end: float) -> Iterator[Ejection]:
-    """Yield the ejections of a proxy, from its `aside` lines; `offset`: time of day at the start (s)."""
+def _ejections(proxy: str, lines: list[LogLine], epoch_offset_s: float, run_end: float) -> Iterator[Ejection]:
+    """Yield the ejections of a proxy, from its `aside` lines; `epoch_offset_s`: time of day at the start."""
     ejected_since: dict[str, float] = {}
     changes: list[tuple[float, set[str]]] = [
-        (float(line["at"]) - offset, {*line["caches"].split(",")} if line.get("caches") else set())
+        (float(line["at"]) - epoch_offset_s, {*line["caches"].split(",")} if line.get("caches") else set())
         for line in lines
         if line.get("event") == "aside"
     ]
@@ -261,7 +261,7 @@
 
 
 def loss_breakdown(scenario: Scenario, history: History, folder: Path) -> dict[str, Any]:
-    """Return the whole breakdown of a run, for the file of its result."""
+    """Return the complete breakdown of a run, as it is stored with the result."""
     logs = read_logs(folder)
     causes = count_lost_requests(scenario, history, logs)
     answers_in_logs = sum(line.get("event") == "rpc" for lines in logs.values() for line in lines)
--- a/calicofall/testbed/membership_simulation.py
+++ b/calicofall/testbed/membership_simulation.py
@@ -1,7 +1,7 @@
-"""Many instances of membership in one process, and whom each of them holds to be away.
+"""Simulation of membership: many instances in one process, and the members that each considers away.
 
 Invariants:
-- What is judged here is never told to an instance.
+    An instance sees no more of the others than a proxy would.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class MembershipSimulation(Simulation):
-    """A fleet whose proxies are all members; `make` builds an instance, for tests a faulty one."""
+    """A fleet whose proxies are all members; `make` builds an instance, which in some tests is faulty."""
 
     def __init__(
         self, fleet: int, seed: int, make: Callable[..., Membership] = Membership, **links: float
@@ -26,23 +26,32 @@
             self.begin(node)
 
     def build(self, node: SimulatedNode, incarnation: int, random_generator: Random) -> Membership:
-        """A new instance for a node."""
+        """Return a new instance for a node."""
         return self.make(node.me, incarnation, self.members, node.clock(self.now), random_generator)
 
     def deliver(self, node: SimulatedNode, message: MembershipProbe) -> None:
-        """Hands a message to a node's instance, and sends what it returns."""
+        """Hand a message to a node's instance, and send what it returns."""
         instance: Membership = node.instance
         for to, answer in instance.on_message(node.clock(self.now), message):
             self.send(node.me, to, answer)
 
     def away_views(self) -> list[frozenset[int]]:
-        """Whom each node that runs holds to be away."""
+        """Return the members that each running node considers away."""
         running = [node for node in self.fleet if node.me not in self.dead and not node.stopped]
         instances: list[Membership] = [node.instance for node in running]
         return [instance.away_members() for instance in instances]
 
     def time_until_views_equal(self, away: frozenset[int], limit: float, part: float = 1.0) -> float | None:
-        """How long (s) until `part` of the running nodes hold exactly these to be away; None: not in time."""
+        """Return how long it takes until enough running nodes consider exactly these members away.
+
+        Args:
+            away: The members.
+            limit: Longest time that is simulated (s).
+            part: The fraction of the running nodes that is enough.
+
+        Returns:
+            The time in seconds; None: longer than the limit.
+        """
         began = self.now
         while self.now < began + limit:
             views = self.away_views()
--- a/calicofall/testbed/network_faults.py
+++ b/calicofall/testbed/network_faults.py
@@ -1,7 +1,7 @@
 """Network faults between processes: what happens to bytes and datagrams on each link.
 
-Holds the faults in force by pair of names and by direction. The relays and emulated servers look up the state
-of a link each time that bytes come to it.
+The relays and emulated servers look up the state of a link, by the names of its two ends, each time that
+bytes or a datagram pass it.
 
 Invariants:
     No socket is touched here.
@@ -16,14 +16,23 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkState:
-    """The state of one link. `to` is the way from the proxy to the other process, `back` the way back."""
+    """The state of the link between a proxy and another process.
 
-    delay: float = 0.0  # s
-    cut_to: bool = False  # bytes are held back: silence without a reset
+    Attributes:
+        delay: Delay of all bytes and datagrams (s).
+        cut_to: Whether bytes from the proxy are held back, without a reset.
+        cut_back: Whether bytes to the proxy are held back, without a reset.
+        reset: Whether connections are reset, new ones too.
+        rate: Throughput limit (bytes a second); 0: not limited.
+        loss: Fraction of datagrams that are lost.
+    """
+
+    delay: float = 0.0
+    cut_to: bool = False
     cut_back: bool = False
-    reset: bool = False  # connections are reset, new ones too
-    rate: float = 0.0  # bytes a second; 0: not limited
-    loss: float = 0.0  # share of datagrams that are lost
+    reset: bool = False
+    rate: float = 0.0
+    loss: float = 0.0
 
 
 HEALTHY_LINK = LinkState()
@@ -31,11 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkFault:
-    """A change of all links between two groups of names.
+    """A change of all links between two groups of processes.
 
     Attributes:
-        ours: One side; directions of `changes` are seen from it.
-        theirs: The other side.
+        near_side: Names of one group; directions of `changes` are seen from it.
+        far_side: Names of the other group.
         changes: Fields of LinkState and their values while the fault is in force.
     """
 
@@ -48,33 +57,31 @@
     """The faults in force, and the state of each link that follows from them.
 
     Attributes:
-        spans: Faults that have ended: began (s), ended (s), names of the changed fields.
+        ended_faults: Faults that have ended: began (s), ended (s), names of the changed fields.
     """
 
     def __init__(self, seed: int) -> None:
         self.random_generator = Random(seed)
         self.faults: list[LinkFault] = []
-        self.cached_states: dict[tuple[str, str], LinkState] = {}  # states looked up since the last change
-        self.began_at: dict[int, float] = {}  # by identity of a fault in force
+        self.cached_states: dict[tuple[str, str], LinkState] = {}  # since the last change of the faults
+        self.began_at: dict[int, float] = {}  # by id() of a fault in force (s)
         self.ended_faults: list[tuple[float, float, str]] = []
 
-    def state_of(self, proxy: str, other: str) -> LinkState:
+    def state_of(self, proxy: str, peer: str) -> LinkState:
         """Return the state of the link between a proxy and another process."""
-        link = self.cached_states.get((proxy, other))
+        link = self.cached_states.get((proxy, peer))
         if link is None:
-            link = self._combined(proxy, other)
-            self.cached_states[proxy, other] = link
+            link = self._combined(proxy, peer)
+            self.cached_states[proxy, peer] = link
         return link
 
-    def _combined(self, proxy: str, other: str) -> LinkState:
+    def _combined(self, proxy: str, peer: str) -> LinkState:
         """Apply all faults in force to a healthy link, a later one over an earlier one."""
         link = HEALTHY_LINK
         for fault in self.faults:
-            if proxy in fault.near_side and other in fault.far_side:
+            if proxy in fault.near_side and peer in fault.far_side:
                 link = replace(link, **fault.changes)
-            elif (
-                other in fault.near_side and proxy in fault.far_side
-            ):  # two proxies, seen from the other side
+            elif peer in fault.near_side and proxy in fault.far_side:  # two proxies, seen from the other side
                 mirrored = {
                     OPPOSITE_DIRECTION.get(name, name): value for name, value in fault.changes.items()
                 }
--- a/calicofall/testbed/outlier_simulation.py
+++ b/calicofall/testbed/outlier_simulation.py
@@ -1,7 +1,7 @@
-"""Many instances of outlier consensus in one process: proxies that each send few requests to each endpoint.
+"""Simulation of outlier consensus: many instances in one process, each with few requests to each endpoint.
 
 Invariants:
-- Which endpoints are truly unhealthy, and what else is judged here, is never told to an instance.
+    An instance sees results of its own requests and messages, never which endpoints are truly unhealthy.
 """
 
 from collections.abc import Callable
@@ -19,18 +19,18 @@
 from calicofall.testbed.simulation import SimulatedNode, Simulation
 
 OBSERVATION_INTERVAL_S = 0.1
-OWN_EJECTION_S = 15.0  # a proxy avoids an endpoint for so long after a failure: as the router's recovery ramp
+OWN_EJECTION_S = 15.0  # after a failure, as long as the router's recovery ramp
 MIN_WAKE_INTERVAL_S = 0.02
-EJECTED_FRACTION = 0.1  # of its requests, that a proxy still sends to an endpoint that it avoids
+EJECTED_FRACTION = 0.1  # of the requests to an endpoint that is still sent while it is avoided
 UNHEALTHY_FAILURE_FRACTION = 0.9
 
 
 class OutlierSimulation(Simulation):
-    """A fleet before `caches` endpoints, each of which every proxy sends `rate` requests a second.
+    """A fleet of proxies that each send `rate` requests a second to each of `caches` endpoints.
 
-    A healthy endpoint fails a fraction `false_failure_fraction` of them. Proxies and endpoints are spread
-    over `zones` in turn. A proxy by itself avoids an endpoint for OWN_EJECTION_S after each failure: by its
-    own requests alone it knows little. With `communicates` off, proxies send no messages.
+    A healthy endpoint fails a fraction `false_failure_fraction` of them. Proxies are assigned to `zones` in
+    turn. A proxy avoids an endpoint for OWN_EJECTION_S after each failure of its own, as its few requests
+    tell it no more. With `communicates` off, proxies send no messages.
     """
 
     def __init__(  # noqa: PLR0913 -- tests name these as keywords
@@ -64,24 +64,24 @@
         self.at(0.0, self.observe_periodically)
 
     def zone(self, me: int) -> int:
-        """The zone of a proxy."""
+        """Return the zone of a proxy."""
         return me % self.zones
 
     def build(self, node: SimulatedNode, incarnation: int, random_generator: Random) -> OutlierConsensus:
-        """A new instance for a node."""
+        """Return a new instance for a node."""
         instance = self.make(node.me, incarnation, self.zone(node.me), random_generator)
         instance.set_endpoints(set(range(self.caches)))
         return instance
 
     def deliver(self, node: SimulatedNode, message: EvidenceMessage) -> None:
-        """Hands a message to a node's instance, and sends its answer."""
+        """Hand a message to a node's instance, and send its answer."""
         instance: OutlierConsensus = node.instance
         answer = instance.on_message(node.clock(self.now), message)
         if answer is not None:
             self.send(node.me, message.sender, answer)
 
     def avoided(self, me: int) -> set[int]:
-        """The endpoints that a proxy avoids now."""
+        """Return the endpoints that a proxy avoids now."""
         return {
             endpoint
             for table in (self.own_ejections[me], self.peer_ejections[me])
@@ -90,11 +90,11 @@
         }
 
     def ejected_by_peers(self, me: int) -> list[int]:
-        """The endpoints that a proxy avoids now on peers' evidence."""
+        """Return the endpoints that a proxy avoids now on peers' evidence."""
         return [endpoint for endpoint, until in self.peer_ejections[me].items() if until > self.now]
 
     def wake(self, node: SimulatedNode, incarnation: int) -> None:
-        """Calls a node's instance, acts on its decisions, and schedules the next call."""
+        """Call a node's instance, act on its decisions, and schedule the next call."""
         if not self.alive(node, incarnation, self.wake, node, incarnation):
             return
         instance: OutlierConsensus = node.instance
@@ -110,7 +110,7 @@
         self.at(self.now + delay_s, self.wake, node, incarnation)
 
     def act_on_decision(self, node: SimulatedNode, endpoint: int, decision: EjectionDecision) -> None:
-        """Ejects or reinstates an endpoint at a proxy, as proxy/outlier_reports.py does."""
+        """Eject or reinstate an endpoint at a proxy, as proxy/outlier_reports.py does."""
         me = node.me
         instance: OutlierConsensus = node.instance
         if decision.health == HEALTHY:
@@ -122,11 +122,11 @@
                 self.peer_ejections[me][endpoint] = self.now + DECISION_LIFETIME_S
 
     def is_unhealthy(self, me: int, endpoint: int) -> bool:
-        """Whether an endpoint is truly unhealthy to a proxy."""
+        """Return whether an endpoint is truly unhealthy to a proxy."""
         return self.zone(me) in self.unhealthy_zones.get(endpoint, ())
 
     def observe_periodically(self) -> None:
-        """Sends the requests of the last interval, and records which endpoints proxies avoid."""
+        """Send the requests of the last interval, and record which endpoints proxies avoid."""
         for node in self.fleet:
             if node.stopped:
                 continue
@@ -142,7 +142,7 @@
         self.at(self.now + OBSERVATION_INTERVAL_S, self.observe_periodically)
 
     def send_request(self, node: SimulatedNode, endpoint: int) -> None:
-        """A request of a proxy ends at an endpoint."""
+        """Record the result of a proxy's request to an endpoint."""
         instance: OutlierConsensus = node.instance
         is_unhealthy = self.is_unhealthy(node.me, endpoint)
         failure_fraction = UNHEALTHY_FAILURE_FRACTION if is_unhealthy else self.false_failure_fraction
@@ -152,6 +152,6 @@
             self.own_ejections[node.me][endpoint] = self.now + OWN_EJECTION_S
 
     def avoiding_fraction(self, endpoint: int) -> float:
-        """Of the proxies to which an endpoint is unhealthy, the fraction that avoids it."""
+        """Return the fraction that avoids an endpoint, of the proxies to which it is unhealthy."""
         affected = [me for me in range(len(self.fleet)) if self.is_unhealthy(me, endpoint)]
         return sum(endpoint in self.avoided(me) for me in affected) / max(1, len(affected))
--- a/calicofall/testbed/quota_simulation.py
+++ b/calicofall/testbed/quota_simulation.py
@@ -1,7 +1,7 @@
-"""Many instances of one limit's quota leases in one process, and how much of the limit they use together.
+"""Simulation of quota leases: many instances for one limit in one process, and how much of it they use.
 
 Invariants:
-- What is judged here is never told to an instance.
+    An instance sees no more of the others than a proxy would.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,13 @@
 
 
 class QuotaSimulation(Simulation):
-    """A fleet that shares one limit; `wants` holds the units that each proxy could use."""
+    """A fleet that shares one limit.
+
+    Attributes:
+        demands: The units of the limit that each proxy could use.
+        peak_units: The most units that all proxies together might have used at one time.
+        observations: How many times usable units were observed.
+    """
 
     def __init__(
         self,
@@ -30,43 +36,43 @@
         self.lease = lease
         self.drift = drift
         self.demands = [0] * fleet
-        self.peak_units = 0  # the most units that all together might use at one time
+        self.peak_units = 0
         self.observations = 0
         for node in self.fleet:
             self.begin(node)
         self.at(0.0, self.observe_periodically)
 
     def build(self, node: SimulatedNode, incarnation: int, random_generator: Random) -> QuotaLeases:
-        """A new instance for a node."""
+        """Return a new instance for a node."""
         now = node.clock(self.now)
         return self.make(
             0, node.me, incarnation, len(self.fleet), now, self.lease, self.drift, random_generator
         )
 
     def demand_units(self, node: SimulatedNode) -> int:
-        """How many units of the limit a node could use."""
+        """Return how many units of the limit a node could use."""
         return self.demands[node.me]
 
     def tick_node(self, node: SimulatedNode) -> tuple[list[tuple[int, QuotaLeaseMessage]], float]:
-        """Tells an instance the demand, and calls it."""
+        """Set the demand of an instance, and call it."""
         instance: QuotaLeases = node.instance
         instance.set_demand(self.demand_units(node))
         others = [me for me in range(len(self.fleet)) if me != node.me]
         return instance.wake(node.clock(self.now), others)
 
     def deliver(self, node: SimulatedNode, message: QuotaLeaseMessage) -> None:
-        """Hands a message to a node's instance, and sends its answer."""
+        """Hand a message to a node's instance, and send its answer."""
         instance: QuotaLeases = node.instance
         answer = instance.on_message(node.clock(self.now), message)
         if answer is not None:
             self.send(node.me, message.sender, answer)
 
     def on_resumed(self) -> None:
-        """A node that was resumed may use units before it has seen what came meanwhile."""
+        """Observe at once: a resumed node may use units before it receives what was sent meanwhile."""
         self.observe()
 
     def usable_units(self) -> dict[int, int]:
-        """What each node that runs may use now, by its number."""
+        """Return the units that each running node may use now, by its number."""
         usable = {}
         for node in self.fleet:
             if node.me not in self.dead and not node.stopped:
@@ -75,23 +81,23 @@
         return usable
 
     def observe_periodically(self) -> None:
-        """Observes now, and again and again."""
+        """Observe now and at every interval from now on."""
         self.observe()
         self.at(self.now + OBSERVATION_INTERVAL_S, self.observe_periodically)
 
     def observe(self) -> None:
-        """Records how many units all together may use now."""
+        """Record how many units all proxies together may use now."""
         self.observations += 1
         self.peak_units = max(self.peak_units, sum(self.usable_units().values()))
 
     @property
     def peak_excess_fraction(self) -> float:
-        """By which fraction the limit was exceeded at most; 0: never."""
+        """The largest fraction by which the limit was exceeded; 0: never."""
         return max(0.0, self.peak_units / UNITS - 1.0)
 
     @property
     def unusable_demand_fraction(self) -> float:
-        """The fraction of the demand (or of the limit, where that is less) that can't be used."""
+        """The fraction of the demand, or of the limit where that is less, that cannot be used now."""
         if not any(self.demands):
             return 0.0
         used = sum(min(units, self.demands[me]) for me, units in self.usable_units().items())
@@ -99,7 +105,7 @@
 
 
 def run_random_faults(simulation: QuotaSimulation, seconds: float) -> None:
-    """Runs with changes of demand and faults drawn from the simulation's seed."""
+    """Run until a time (s) with changes of demand and faults drawn from the simulation's seed."""
     random_generator = simulation.random_generator
     count = len(simulation.fleet)
     while simulation.now < seconds:
@@ -126,7 +132,7 @@
 
 
 def _change_demand(simulation: QuotaSimulation) -> None:
-    """Divides a random demand evenly between some of the nodes."""
+    """Divide a random demand evenly between some of the nodes."""
     random_generator = simulation.random_generator
     count = len(simulation.fleet)
     demanding = random_generator.sample(range(count), random_generator.randint(1, count))
--- a/calicofall/testbed/randomized_scenarios.py
+++ b/calicofall/testbed/randomized_scenarios.py
@@ -1,6 +1,6 @@
 """Randomized scenarios: drawn from a seed, and shrunk to the shortest that still fails.
 
-Nothing is run here: shrinking is handed a function that runs a scenario and tells whether it fails.
+Nothing is run here: shrinking is given a function that runs a scenario and returns whether it fails.
 
 Invariants:
     The same seed always gives the same scenario, so the order of the draws is part of the interface.
@@ -16,7 +16,7 @@
 MAX_PROXIES = 16
 MIN_PROXIES_WHEN_SHRUNK = 3
 DURATION_S = 18.0
-CALM_S = 6.0  # at the end without a fault, so that what has to recover can
+CALM_S = 6.0  # without a fault at the end, so that the fleet can recover
 LAST_EVENT_S = 3.0  # taken as the end of the last event where a scenario has none
 PROCESS_EVENTS = ("kill", "term", "stop", "restart")
 LINK_EVENTS = ("cut", "delay", "slow", "reset", "lose")
@@ -46,38 +46,38 @@
 def _draw_event(random_generator: Random, proxies: int, caches: int) -> Event:
     at = round(random_generator.uniform(0.0, DURATION_S - CALM_S - 3.0), 1)
     until = round(at + random_generator.uniform(0.5, 3.0), 1)
-    some = f"p{random_generator.randrange(proxies)}-p{proxies - 1}"
-    who = random_generator.choice(
-        ["half", "third", "zone:a", "zone:b", some, f"p{random_generator.randrange(proxies)}"]
+    proxy_range = f"p{random_generator.randrange(proxies)}-p{proxies - 1}"
+    group = random_generator.choice(
+        ["half", "third", "zone:a", "zone:b", proxy_range, f"p{random_generator.randrange(proxies)}"]
     )
-    do = random_generator.choice(
+    kind = random_generator.choice(
         random_generator.choice([PROCESS_EVENTS, LINK_EVENTS, SERVICE_EVENTS, CACHE_EVENTS])
     )
-    if do in PROCESS_EVENTS:
-        timed = {} if do == "restart" else {"until": until}
-        return {"at": at, "do": do, "who": who, "over": random_generator.choice([0.0, 1.0])} | timed
-    if do in LINK_EVENTS:
-        return _draw_link_event(random_generator, do, who, at, until)
-    if do in SERVICE_EVENTS:
+    if kind in PROCESS_EVENTS:
+        until_field = {} if kind == "restart" else {"until": until}
+        return {"at": at, "do": kind, "who": group, "over": random_generator.choice([0.0, 1.0])} | until_field
+    if kind in LINK_EVENTS:
+        return _draw_link_event(random_generator, kind, group, at, until)
+    if kind in SERVICE_EVENTS:
         amount = {"service_late": 1.0, "service_restart": float(random_generator.choice([0, 3, 1000]))}.get(
-            do, 0.0
+            kind, 0.0
         )
-        timed = {} if do == "service_restart" else {"until": until}
-        return {"at": at, "do": do, "amount": amount} | timed
+        until_field = {} if kind == "service_restart" else {"until": until}
+        return {"at": at, "do": kind, "amount": amount} | until_field
     cache = f"c{random_generator.randrange(caches)}"
-    timed = {"until": until} if do == "sick" else {}
-    return {"at": at, "do": do, "who": cache, "amount": 8.0} | timed
+    until_field = {"until": until} if kind == "sick" else {}
+    return {"at": at, "do": kind, "who": cache, "amount": 8.0} | until_field
 
 
-def _draw_link_event(random_generator: Random, do: str, who: str, at: float, until: float) -> Event:
-    amount = {"delay": 0.05, "slow": 20_000.0, "lose": 0.5}.get(do, 0.0)
-    to = random_generator.choice(["caches", "list", "zone:b", "proxies"]) if do != "lose" else "proxies"
+def _draw_link_event(random_generator: Random, kind: str, group: str, at: float, until: float) -> Event:
+    amount = {"delay": 0.05, "slow": 20_000.0, "lose": 0.5}.get(kind, 0.0)
+    peers = random_generator.choice(["caches", "list", "zone:b", "proxies"]) if kind != "lose" else "proxies"
     return {
         "at": at,
         "until": until,
-        "do": do,
-        "who": who,
-        "to": to,
+        "do": kind,
+        "who": group,
+        "to": peers,
         "amount": amount,
         "way": random_generator.choice(["both", "to", "back"]),
     }
@@ -88,14 +88,14 @@
     random_generator = Random(seed)
     proxies = random_generator.randint(MIN_PROXIES, MAX_PROXIES)
     caches = random_generator.randint(4, 10)
-    room = random_generator.choice([3.0, 5.0, 100.0])
+    watches_per_s = random_generator.choice([3.0, 5.0, 100.0])
     handshakes = proxies * 3.0
     connections = proxies * 4
     return parse_scenario(
         {
             "name": f"walk-{seed}",
             "seed": seed,
-            "seconds": DURATION_S + (proxies / room if room < 50.0 else 0.0),
+            "seconds": DURATION_S + (proxies / watches_per_s if watches_per_s < 50.0 else 0.0),
             "fleet": {
                 "proxies": proxies,
                 "caches": caches,
@@ -104,7 +104,7 @@
                 "over": random_generator.choice([0.0, 2.0]),
             },
             "service": {
-                "room": room,
+                "room": watches_per_s,
                 "retry_after_s": random_generator.choice([1, 2]) if random_generator.random() < 0.3 else None,
             },
             "cache": {
@@ -123,30 +123,32 @@
 
 
 def _draw_version_fault(random_generator: Random, proxies: int) -> Event:
-    """Draw what keeps a proxy from versions: after the first lease is held and before the calm."""
+    """Draw a fault that keeps proxies from new versions, after the first leases and before the calm end."""
     at = round(random_generator.uniform(VERSION_FAULTS_BEGIN_S, VERSION_FAULTS_END_S - 1.5), 1)
     until = round(at + random_generator.uniform(0.5, 4.0), 1)
     first = random_generator.randrange(proxies)
     count = random_generator.randint(1, (proxies - 1) // 2)
-    minority = ",".join(f"p{(first + place) % proxies}" for place in range(count))
-    do = random_generator.choice(VERSION_FAULTS)
-    if do in ("cut", "lose", "delay"):
+    minority = ",".join(f"p{(first + index) % proxies}" for index in range(count))
+    kind = random_generator.choice(VERSION_FAULTS)
+    if kind in ("cut", "lose", "delay"):
         return {
             "at": at,
             "until": until,
-            "do": do,
+            "do": kind,
             "who": minority,
-            "to": random_generator.choice(["proxies", "proxies,list", "list"]) if do == "cut" else "proxies",
-            "amount": {"lose": 0.4, "delay": 0.3}.get(do, 0.0),
+            "to": random_generator.choice(["proxies", "proxies,list", "list"])
+            if kind == "cut"
+            else "proxies",
+            "amount": {"lose": 0.4, "delay": 0.3}.get(kind, 0.0),
             "way": random_generator.choice(["both", "to", "back"]),
         }
-    if do == "stop":
-        return {"at": at, "until": until, "do": do, "who": random_generator.choice([minority, "third"])}
-    if do == "restart":
-        return {"at": at, "do": do, "who": f"p{first}"}
-    if do == "service_restart":
-        return {"at": at, "do": do, "older": random_generator.randint(0, 2)}
-    return {"at": at, "until": until, "do": do}
+    if kind == "stop":
+        return {"at": at, "until": until, "do": kind, "who": random_generator.choice([minority, "third"])}
+    if kind == "restart":
+        return {"at": at, "do": kind, "who": f"p{first}"}
+    if kind == "service_restart":
+        return {"at": at, "do": kind, "older": random_generator.randint(0, 2)}
+    return {"at": at, "until": until, "do": kind}
 
 
 def draw_version_scenario(seed: int) -> Scenario:
@@ -158,9 +160,7 @@
     at = FIRST_PUBLISH_S
     zones = "ab"
     while at < VERSION_FAULTS_END_S:
-        zones = (
-            random_generator.choice("ab") if zones == "ab" else "ab"
-        )  # two that follow each other share a zone
+        zones = random_generator.choice("ab") if zones == "ab" else "ab"  # consecutive versions share a zone
         events.append({"at": round(at, 1), "do": "publish", "zones": zones})
         at += random_generator.uniform(0.8, 2.4)
     settled_s = lease_s * (1.0 + DRIFT) ** 2 + PAUSE
@@ -183,7 +183,7 @@
 def shrink_scenario(
     scenario: Scenario, fails: Callable[[Scenario], bool], log: Callable[[str], None]
 ) -> Scenario:
-    """Return the shortest scenario that still fails: without events, proxies and seconds it does not need."""
+    """Return the shortest scenario that still fails, without needless events, proxies and seconds."""
     while True:
         smaller = _first_failing(_shorter(scenario), fails, log)
         if smaller is None:
@@ -211,8 +211,8 @@
     if scenario.fleet.proxies > MIN_PROXIES_WHEN_SHRUNK:
         fewer = max(MIN_PROXIES_WHEN_SHRUNK, scenario.fleet.proxies // 2)
         candidates.append(data | {"fleet": data["fleet"] | {"proxies": fewer}})
-    for place in range(len(scenario.event)):
-        candidates.append(data | {"event": data["event"][:place] + data["event"][place + 1 :]})
+    for index in range(len(scenario.event)):
+        candidates.append(data | {"event": data["event"][:index] + data["event"][index + 1 :]})
     last = max([event.until or event.at for event in scenario.event], default=LAST_EVENT_S)
     if scenario.seconds > last + 4.0:
         candidates.append(data | {"seconds": last + 2.0 + (scenario.seconds - last) / 2.0 - 1.0})
--- a/calicofall/testbed/rate_slot_simulation.py
+++ b/calicofall/testbed/rate_slot_simulation.py
@@ -1,7 +1,7 @@
-"""Many instances of time slots that are lent, in one process, and which slots they use.
+"""Simulation of rate slots: many instances that lend time slots, in one process, and the slots they use.
 
 Invariants:
-- What is judged here is never told to an instance.
+    An instance sees no more of the others than a proxy would.
 """
 
 from collections import Counter
@@ -16,22 +16,26 @@
 from calicofall.testbed.quota_simulation import QuotaSimulation
 from calicofall.testbed.simulation import SimulatedNode
 
-WALL_CLOCK_OFFSET_S = 7_000.0  # the common clock shows this at the beginning
+WALL_CLOCK_OFFSET_S = 7_000.0  # time of day at the beginning of the simulation
 SHORTEST_WAIT_S = 1e-6
 FETCH_INTERVAL_S = 0.01
-RETURN_DELAY_S = 0.02  # from the use of a slot to the news that it wasn't needed
+RETURN_DELAY_S = 0.02  # from the use of a slot until it is known that it was not needed
 
 
 def slot_index(time_slots: TimeSlots, slot_at: float) -> int:
-    """The number of a slot among all slots of the fleet, by the common clock."""
+    """Return the number of a slot among all slots of the fleet, by the time of day."""
     return round((slot_at - time_slots.created_at_s + time_slots.created_at_wall_s) / time_slots.gap_s)
 
 
 class RateSlotSimulation(QuotaSimulation):
-    """A fleet that shares `room` slots a second, where each proxy uses all that it has.
+    """A fleet that shares `slots_per_s` slots a second, where each proxy uses all that it has.
 
-    `wants` holds the demand of each proxy in UNITS, as in quota simulations. Common clocks differ by up to
-    `skew` seconds.
+    `demands` holds the demand of each proxy in UNITS, as in quota simulations. The proxies' times of day
+    differ by up to `skew` seconds.
+
+    Attributes:
+        taken_at: When slots were used (s).
+        takers_by_slot: By number of a slot, how many proxies used it.
     """
 
     def __init__(
@@ -51,7 +55,7 @@
         super().__init__(fleet, seed, make, drift=0.0, **links)
 
     def build(self, node: SimulatedNode, incarnation: int, random_generator: Random) -> RateSlots:
-        """A new instance for a node, which begins to use its slots."""
+        """Return a new instance for a node, which begins to use its slots."""
         instance = super().build(node, incarnation, random_generator)
         assert isinstance(instance, RateSlots)
         wall = self.now + WALL_CLOCK_OFFSET_S + self.skew * self.random_generator.random()
@@ -62,12 +66,12 @@
         return instance
 
     def demand_units(self, node: SimulatedNode) -> int:
-        """How many slots of a round a node could use."""
+        """Return how many slots of a round a node could use."""
         instance: RateSlots = node.instance
         return self.demands[node.me] * instance.total // UNITS
 
     def take_slots(self, node: SimulatedNode, incarnation: int, slot_at: float | None = None) -> None:
-        """Uses the slot whose moment has come, if it still may be used, and waits for the next one."""
+        """Use the slot that is due, if it still may be used, and schedule the next one."""
         if not self.alive(node, incarnation, self.take_slots, node, incarnation, slot_at):
             return
         instance: RateSlots = node.instance
@@ -83,12 +87,12 @@
         self.at(self.now + wait_s, self.take_slots, node, incarnation, next_slot_at)
 
     def observe(self) -> None:
-        """Counts the observation alone: what is judged here is the use of slots."""
+        """Count the observation alone: tests check the slots that were used, not usable units."""
         self.observations += 1
 
     @property
     def slots_taken_twice(self) -> int:
-        """How many slots were used by two proxies or more."""
+        """The number of slots that were used by two proxies or more."""
         return sum(count > 1 for count in self.takers_by_slot.values())
 
     @property
@@ -98,7 +102,7 @@
 
 
 class OriginFetchSimulation(RateSlotSimulation):
-    """Slots at an origin: each proxy sends whenever it may; some of the slots weren't needed."""
+    """Slots for fetches at an origin: each proxy takes all it may, and returns a fraction as not needed."""
 
     def __init__(self, *values: Any, returned_fraction: float = 0.5, **more: Any) -> None:
         self.returned_fraction = returned_fraction
@@ -106,7 +110,7 @@
         super().__init__(*values, **more)
 
     def build(self, node: SimulatedNode, incarnation: int, random_generator: Random) -> RateSlots:
-        """A new instance for a node, with its slots at the origin."""
+        """Return a new instance for a node, with its slots at the origin."""
         instance = super().build(node, incarnation, random_generator)
         origin_slots = OriginFetchSlots(instance, self.slots_per_s, node.clock(self.now), 0.0)
         origin_slots.time_slots = self.time_slots_by_node[node.me]
@@ -114,7 +118,7 @@
         return instance
 
     def take_slots(self, node: SimulatedNode, incarnation: int, slot_at: float | None = None) -> None:
-        """Uses all slots that may be used now."""
+        """Use all slots that may be used now."""
         if not self.alive(node, incarnation, self.take_slots, node, incarnation):
             return
         now = node.clock(self.now)
@@ -129,6 +133,6 @@
         self.at(self.now + FETCH_INTERVAL_S, self.take_slots, node, incarnation)
 
     def return_slot(self, node: SimulatedNode, incarnation: int, slot_at: float) -> None:
-        """A slot that was used wasn't needed."""
+        """Return a slot that was used but not needed."""
         if self.alive(node, incarnation, self.return_slot, node, incarnation, slot_at):
             self.origin_slots[node.me].return_slot(node.clock(self.now), slot_at)
--- a/calicofall/testbed/routing_simulation.py
+++ b/calicofall/testbed/routing_simulation.py
@@ -1,11 +1,11 @@
 """Simulation of the routers of a whole fleet before modelled cache nodes, in one process.
 
 It carries out the routers' decisions as the proxy does, without sockets, and shows in seconds of one core
-what they do together: sums of sends and limits, endpoints ejected in error, where requests are lost. It has
-no processes, clocks that differ, endpoint lists that come late, or bytes.
+their combined behaviour: sums of sends and limits, endpoints ejected in error, causes of lost requests. It
+models no processes, different clocks, delayed endpoint lists or bytes.
 
 Invariants:
-    The simulation never looks into a router to decide for it.
+    No decision of a router is made or changed by the simulation.
 """
 
 from bisect import bisect_left
@@ -24,20 +24,21 @@
 from calicofall.testbed.server_models import CacheModel, OriginModel
 
 ONE_WAY_MS = 0.5  # of a message between two processes
-IDLE_TIMEOUT_MS = 20_000.0  # after which an idle connection is closed
-RETRY_MIN_MS = 20.0  # a client waits at least so long, and does not ask with less left
-RECHECK_MS = 15.0  # after which the router is asked again for a request that waits
-MAX_RETRIES = 3  # of a client that was rejected
-NOTES = {"hit": "hit", "miss": "fetched", "pending": "fetching"}  # of the model, and as a router reads them
+IDLE_TIMEOUT_MS = 20_000.0  # of connections to cache nodes
+RETRY_MIN_MS = 20.0  # shortest delay of a client's retry; with less time left it does not retry
+RECHECK_MS = 15.0  # interval at which the router is asked again about a waiting request
+MAX_RETRIES = 3  # of a client after rejections
+# By cache status of the model: the status as a router reads it.
+ROUTER_CACHE_STATUS = {"hit": "hit", "miss": "fetched", "pending": "fetching"}
 
 
 @dataclass(frozen=True, slots=True)
 class SimulatedRequest:
-    """A request at the router of a proxy, and the client's intention behind it."""
+    """A request at the router of a proxy, and when the client intended it."""
 
     proxy: int
     request: Request
-    wanted: float  # when the client intended it (ms)
+    intended_at: float  # when the client intended it (ms)
     retries: int  # of the client, after rejections
 
 
@@ -52,10 +53,13 @@
         now: Simulated time (ms).
         lost: Requests of clients that were not served, by what their last attempt ended in.
         outcomes: Outcomes of attempts.
-        avoided: Ejections: when (ms), by which proxy, which endpoint.
+        request_count: Requests that clients intended.
+        in_time: Requests that completed within the latency objective.
+        late: Requests that completed after it.
+        ejections: When (ms), by which proxy, which endpoint.
     """
 
-    def __init__(  # noqa: PLR0913 - a fleet and its load, most with a usual value
+    def __init__(  # noqa: PLR0913 - a fleet and its load, most with a default
         self,
         deployment: dict[str, Any],
         caches: list[CacheModel],
@@ -93,9 +97,8 @@
         self.cumulative_key_weights = list(accumulate(1.0 / (rank + 1) ** skew for rank in range(keys)))
         self.cumulative_proxy_weights = list(accumulate(weights or [1.0] * self.fleet))
         self.methods = {method["name"]: method for method in deployment["methods"]}
-        self.idle_since: dict[tuple[int, str], list[float]] = defaultdict(
-            list
-        )  # since when each is idle (ms)
+        # By proxy and endpoint: since when each idle connection is idle (ms).
+        self.idle_since: dict[tuple[int, str], list[float]] = defaultdict(list)
         self.opened_connections = 0  # connections
         self.request_count = 0
         self.in_time = 0
@@ -105,15 +108,15 @@
         self.ejections: list[tuple[float, int, str]] = []
         self.at(self._gap(), self.begin_client_request)
 
-    def at(self, when: float, what: Callable[..., Any], *values: Any) -> None:
-        """Call `what` with the values at a moment (ms)."""
-        heappush(self.events, (when, next(self.sequence), what, values))
+    def at(self, when: float, callback: Callable[..., Any], *arguments: Any) -> None:
+        """Schedule a call at a time (ms)."""
+        heappush(self.events, (when, next(self.sequence), callback, arguments))
 
     def run(self, until: float) -> None:
-        """Run to a moment (ms)."""
+        """Execute all events up to a time (ms)."""
         while self.events and self.events[0][0] <= until:
-            self.now, _, what, values = heappop(self.events)
-            what(*values)
+            self.now, _, callback, arguments = heappop(self.events)
+            callback(*arguments)
         self.now = until
 
     def _gap(self) -> float:
@@ -121,8 +124,8 @@
 
     def begin(self, number: int) -> Router:
         """Return the router of a proxy that starts now."""
-        place = {"me": number, "zone": ZONES[number % self.zones]}
-        router = self.make(self.deployment | place, self.seed * 10_007 + number, self.now)
+        proxy_settings = {"me": number, "zone": ZONES[number % self.zones]}
+        router = self.make(self.deployment | proxy_settings, self.seed * 10_007 + number, self.now)
         router.on_endpoint_list(self.now, "full", 1, self.entries)
         return router
 
@@ -136,7 +139,7 @@
         self.routers[number] = self.begin(number)
 
     def fill_caches(self) -> None:
-        """Store each key at the nodes of its placement, as after a long time."""
+        """Store each key at the nodes of its placement, as after a long run."""
         for key in range(1, len(self.cumulative_key_weights) + 1):
             for cache in self.routers[0].policy.placement.ranking(key):
                 self.caches[cache.name].store(f"{key:x}")
@@ -144,7 +147,7 @@
     # Clients
 
     def begin_client_request(self) -> None:
-        """Begin a client's request, and schedule the next client's."""
+        """Begin a client's request, and schedule the next one."""
         self.at(self._gap(), self.begin_client_request)
         self.request_count += 1
         key = self._draw_index(self.cumulative_key_weights) + 1
@@ -156,15 +159,17 @@
         """Draw an index by its weight."""
         return bisect_left(cumulative_weights, self.random_generator.random() * cumulative_weights[-1])
 
-    def send_to_proxy(self, proxy: int, method: str, key: int, wanted: float, retries: int) -> None:
+    def send_to_proxy(self, proxy: int, method: str, key: int, intended_at: float, retries: int) -> None:
         """Send a client's request to a proxy, unless too little of its time is left."""
-        left = wanted + self.methods[method]["hard_deadline"] - self.now
-        if left <= RETRY_MIN_MS:
+        remaining_ms = intended_at + self.methods[method]["hard_deadline"] - self.now
+        if remaining_ms <= RETRY_MIN_MS:
             self.lost["too late to ask again"] += 1
             return
         number = f"{next(self.sequence)}"
-        request = Request(number, method, None, key, method != "read", self.now, self.now + left, retries > 0)
-        simulated = SimulatedRequest(proxy, request, wanted, retries)
+        request = Request(
+            number, method, None, key, method != "read", self.now, self.now + remaining_ms, retries > 0
+        )
+        simulated = SimulatedRequest(proxy, request, intended_at, retries)
         self.carry_out(simulated, self.routers[proxy].route(self.now, request))
 
     def carry_out(self, simulated: SimulatedRequest, endpoint: str | None) -> None:
@@ -181,15 +186,21 @@
         """Count an answer, or have the client retry after a rejection."""
         request = simulated.request
         if request.answer == "completed":
-            good = self.now - simulated.wanted <= self.methods[request.method]["soft_deadline"]
-            self.in_time += good
-            self.late += not good
+            in_time = self.now - simulated.intended_at <= self.methods[request.method]["soft_deadline"]
+            self.in_time += in_time
+            self.late += not in_time
         elif request.answer == "exhausted" and simulated.retries < self.max_retries:
             retry_at = self.now + max(RETRY_MIN_MS, request.retry_after_ms)
             proxy = self._draw_index(self.cumulative_proxy_weights)
             retries = simulated.retries + 1
             self.at(
-                retry_at, self.send_to_proxy, proxy, request.method, request.key, simulated.wanted, retries
+                retry_at,
+                self.send_to_proxy,
+                proxy,
+                request.method,
+                request.key,
+                simulated.intended_at,
+                retries,
             )
         else:
             answer = "refused" if request.answer == "exhausted" else "errored"
@@ -203,7 +214,7 @@
             self.carry_out(simulated, self.routers[simulated.proxy].route(self.now, request))
 
     def tick(self, proxy: int) -> None:
-        """Give a router its tick, note its ejections and carry out its actions."""
+        """Call a router's tick, record its ejections and carry out its actions."""
         router = self.routers[proxy]
         router.tick(self.now)
         for line in router.log_lines:
@@ -218,7 +229,7 @@
     # Cache nodes
 
     def close_idle_connections(self, proxy: int, endpoint: str, before: float) -> None:
-        """Close connections that are idle since before a moment (ms); 0: all idle ones."""
+        """Close connections that have been idle since before a time (ms); 0: all idle ones."""
         idle_since = self.idle_since[proxy, endpoint]
         for at in [at for at in idle_since if not before or at < before]:
             idle_since.remove(at)
@@ -232,18 +243,23 @@
         arrival = self.now + ONE_WAY_MS
         finished = False
 
-        def finish(outcome: str, note: str | None) -> None:
+        def finish(outcome: str, cache_status: str | None) -> None:
             nonlocal finished
             if not finished:
                 finished = True
-                self._on_attempt_finished(simulated, endpoint, outcome, note, since)
+                self._on_attempt_finished(simulated, endpoint, outcome, cache_status, since)
 
         def execute() -> None:
             if finished:
                 return  # timed out before its connection was established
             answer = node.command(self.now / 1000.0, f"{request.key:x}", request.write)
-            note = NOTES.get(answer.cache_status or "")
-            self.at(answer.at * 1000.0 + ONE_WAY_MS, finish, "completed" if answer.executed else "full", note)
+            cache_status = ROUTER_CACHE_STATUS.get(answer.cache_status or "")
+            self.at(
+                answer.at * 1000.0 + ONE_WAY_MS,
+                finish,
+                "completed" if answer.executed else "full",
+                cache_status,
+            )
 
         self.close_idle_connections(simulated.proxy, endpoint, self.now - IDLE_TIMEOUT_MS)
         if self.idle_since[simulated.proxy, endpoint]:
@@ -259,7 +275,7 @@
         self.at(self.now + request.timeout_ms, finish, "timeout", None)
 
     def _on_attempt_finished(
-        self, simulated: SimulatedRequest, endpoint: str, outcome: str, note: str | None, since: float
+        self, simulated: SimulatedRequest, endpoint: str, outcome: str, cache_status: str | None, since: float
     ) -> None:
         """Report an attempt's outcome to the router and follow its decision."""
         request = simulated.request
@@ -271,11 +287,11 @@
         if request.finished:
             return  # the proxy has restarted since
         next_endpoint = self.routers[simulated.proxy].report_attempt(
-            self.now, request, len(request.attempts) - 1, outcome, self.now - since, note
+            self.now, request, len(request.attempts) - 1, outcome, self.now - since, cache_status
         )
         self.carry_out(simulated, next_endpoint)
 
-    # What they do together
+    # Sums over the fleet
 
     def limits(self) -> dict[str, float]:
         """Return the sums of all routers' concurrency limits of the cache nodes and the origin."""
--- a/calicofall/testbed/server_models.py
+++ b/calicofall/testbed/server_models.py
@@ -12,13 +12,17 @@
 from heapq import heapify, heapreplace
 from typing import Any, NamedTuple
 
-BURST_S = 0.5  # the discovery service can begin the watches of this span at once
+BURST_S = 0.5  # the discovery service begins up to the watches of this time at once
 
 
 class DiscoveryModel:
-    """A discovery service that can begin `room` watches a second and hold `most` open.
+    """A discovery service with a limited rate of new watches and a limited number of open ones.
 
-    Beyond that rate it refuses (with Retry-After, where `after` is given) or queues up to `queue` of them.
+    Args:
+        watches_per_s: Watches that can begin in a second.
+        max_open: Watches that can be open at a time.
+        retry_after_s: Retry-After of a refusal (s); None: refusals have none.
+        queue: Watches beyond the rate that are queued; more are refused.
     """
 
     def __init__(
@@ -26,15 +30,15 @@
     ) -> None:
         self.watches_per_s = watches_per_s
         self.max_open = max_open
-        self.retry_after_s = retry_after_s  # s, of Retry-After
+        self.retry_after_s = retry_after_s
         self.queue = queue
         self.entries: dict[str, dict[str, Any]] = {}
         self.index = 0
-        self.changes: list[tuple[int, dict[str, Any]]] = []  # version, entry
+        self.changes: list[tuple[int, dict[str, Any]]] = []  # version of the list, entry
         self.tokens = max(1.0, watches_per_s * BURST_S)
-        self.at = 0.0  # when the tokens were counted
+        self.tokens_at = 0.0  # when the tokens were last counted (s)
         self.open = 0
-        self.event_delay_s = 0.0  # s by which watch events are delayed
+        self.event_delay_s = 0.0  # of all list events
 
     def put(self, entry: dict[str, Any]) -> int:
         """Publish an entry that has changed, and return the new version of the list."""
@@ -49,8 +53,8 @@
     def request_watch(self, now: float) -> float | None:
         """Return when a watch that is requested now begins (s); None: it is refused."""
         burst = max(1.0, self.watches_per_s * BURST_S)
-        self.tokens = min(burst, self.tokens + (now - self.at) * self.watches_per_s)
-        self.at = now
+        self.tokens = min(burst, self.tokens + (now - self.tokens_at) * self.watches_per_s)
+        self.tokens_at = now
         if self.open >= self.max_open or self.tokens < 1.0 - self.queue:
             return None
         self.tokens -= 1.0
@@ -77,7 +81,7 @@
 
 
 class OriginModel:
-    """An origin that serves `limit` fetches at a time, each for `took` s; more wait.
+    """An origin that serves `limit` fetches at a time, each for `fetch_s` seconds; more wait.
 
     Fetches may be requested for moments to come, in any order: one that a slow cache node requests for later
     delays no fetch that begins before it.
@@ -86,9 +90,9 @@
     def __init__(self, limit: int, fetch_s: float) -> None:
         self.limit = limit
         self.fetch_s = fetch_s
-        self.begins: list[float] = []  # sorted
-        self.ends: list[float] = []  # sorted
-        self.fetches: list[tuple[float, float]] = []  # requested, done
+        self.begins: list[float] = []  # s, sorted
+        self.ends: list[float] = []  # s, sorted
+        self.fetches: list[tuple[float, float]] = []  # when requested and when done (s)
 
     def fetch(self, at: float) -> float:
         """Return when a fetch that is requested at a moment is done (s)."""
@@ -105,22 +109,34 @@
 
 
 class ModelAnswer(NamedTuple):
-    """What a cache node makes of a command: BUSY where it was not executed, or a value at a time."""
+    """The result of a command at a cache node: a value at a time, or BUSY where it was not executed."""
 
     at: float  # s
     executed: bool
-    cache_status: str | None = None  # hit, miss, pending
+    cache_status: str | None = None  # of a read: hit, miss or pending
 
 
 class CacheModel:
-    """A cache node: `slots` requests at a time, a queue, a table of connections, memory, a warm-up.
-
-    After a start from nothing it has `cold_share` of its speed, which grows to all of it over `cold` s. If
-    it is sent more than `fall` times its current capacity for `fall_span` s while it warms up, it collapses
-    and is down for `fall_span` s.
+    """A cache node with request slots, a queue, a connection limit, memory and a warm-up.
+
+    After a start with an empty cache it has a fraction of its speed, which grows to all of it over the
+    warm-up. If it is sent too many requests while it warms up, it collapses and is down for a time.
+
+    Args:
+        origin: The origin that misses and writes go to.
+        slots: Requests that are executed at a time.
+        queue: Requests that wait; more are rejected.
+        connections: Connections that can be open.
+        handshake: Time that a new connection occupies a slot (s).
+        hit: Time that a request occupies a slot (s).
+        keys: Keys that fit into memory.
+        cold_share: Fraction of the speed at the start of the warm-up.
+        cold: Duration of the warm-up (s).
+        fall: The node collapses when it is sent more than so many times its current capacity.
+        fall_span: For so long (s); the node is then down for as long.
     """
 
-    def __init__(  # noqa: PLR0913 - the measures of a node, which scenarios state one by one
+    def __init__(  # noqa: PLR0913 - each of a node's parameters is set by scenarios on its own
         self,
         origin: OriginModel,
         slots: int,
@@ -138,48 +154,49 @@
         self.slots = slots
         self.queue = queue
         self.connections = connections
-        self.handshake_cost = handshake  # s of a slot
-        self.hit = hit  # s of a slot
+        self.handshake_s = handshake
+        self.hit_s = hit
         self.max_keys = keys
         self.cold_share = cold_share
-        self.cold = cold
-        self.fall = fall
-        self.fall_span = fall_span
-        self.free = [0.0] * slots  # heap: when each slot is free
-        self.stored_keys: OrderedDict[str, None] = OrderedDict()  # keys, least recently used first
-        self.fetching: dict[str, float] = {}  # by key: when its fetch is done
-        self.ends: deque[float] = deque()  # of requests in flight, sorted
+        self.warm_up_s = cold
+        self.collapse_factor = fall
+        self.collapse_s = fall_span
+        self.slot_free_at = [0.0] * slots  # heap: when each slot is free (s)
+        self.stored_keys: OrderedDict[str, None] = OrderedDict()  # least recently used first
+        self.fetch_done_at: dict[str, float] = {}  # by key (s)
+        self.ends: deque[float] = deque()  # of requests in flight (s), sorted
         self.open = 0
-        self.began: float | None = None  # the last start from nothing
+        self.began: float | None = None  # last start with an empty cache (s)
         self.down_until = 0.0
-        self.command_times: deque[float] = deque()  # when commands came, over the last `fall_span`
+        self.command_times: deque[float] = deque()  # when commands came over the last `collapse_s` (s)
         self.collapses: list[float] = []
-        self.slowdown = 1.0  # factor on the time that a request takes
-        self.large_answer_slowdown = 1.0  # factor for large answers: on their way, with no slot in use
+        self.slowdown = 1.0  # factor on the time that a request occupies a slot
+        # Factor on the time of large answers. The additional time passes in transfer, without a slot in use.
+        self.large_answer_slowdown = 1.0
 
     def start(self, now: float) -> None:
         """Start with an empty cache."""
         self.began = now
         self.stored_keys.clear()
-        self.fetching.clear()
-        self.free = [now] * self.slots
-        heapify(self.free)
+        self.fetch_done_at.clear()
+        self.slot_free_at = [now] * self.slots
+        heapify(self.slot_free_at)
 
     def speed(self, now: float) -> float:
         """Return the share of the warm speed that the node has now."""
         if self.began is None:
             return 1.0
-        age = (now - self.began) / self.cold
+        age = (now - self.began) / self.warm_up_s
         return min(1.0, self.cold_share + (1.0 - self.cold_share) * max(0.0, age))
 
     def capacity(self, now: float) -> float:
         """Return how many requests a second the node can serve now."""
-        return self.slots / self.hit * self.speed(now)
+        return self.slots / self.hit_s * self.speed(now)
 
     def _work(self, now: float, span: float) -> float:
         """Occupy the slot that is free first, and return when its work is done."""
-        done = max(now, self.free[0]) + span * self.slowdown / self.speed(now)
-        heapreplace(self.free, done)
+        done = max(now, self.slot_free_at[0]) + span * self.slowdown / self.speed(now)
+        heapreplace(self.slot_free_at, done)
         return done
 
     def handshake(self, now: float) -> float | None:
@@ -187,14 +204,14 @@
         if self.open >= self.connections or now < self.down_until:
             return None
         self.open += 1
-        return self._work(now, self.handshake_cost)
+        return self._work(now, self.handshake_s)
 
     def ended(self) -> None:
         """Count a connection that was closed."""
         self.open -= 1
 
     def command(self, now: float, key: str, write: bool, large: bool = False) -> ModelAnswer:
-        """Take a command that has arrived whole; `large`: its answer is."""
+        """Execute or reject a command that has arrived completely; `large`: whether its answer is large."""
         self._collapse_if_overloaded(now)
         while self.ends and self.ends[0] <= now:
             self.ends.popleft()
@@ -202,7 +219,7 @@
             return ModelAnswer(now, False)
         done, cache_status = self._execute(now, key, write)
         if large and not write:
-            done += (self.large_answer_slowdown - 1.0) * self.hit
+            done += (self.large_answer_slowdown - 1.0) * self.hit_s
         self.ends.append(done)
         if len(self.ends) > 1 and self.ends[-2] > done:
             self.ends = deque(sorted(self.ends))
@@ -210,16 +227,16 @@
 
     def _execute(self, now: float, key: str, write: bool) -> tuple[float, str | None]:
         """Return when a command is done, and whether a read was a hit."""
-        done = self._work(now, self.hit)
+        done = self._work(now, self.hit_s)
         if write:
             written = self.origin.fetch(done)
             self.stored_keys.pop(key, None)
             return written, None
-        if self.fetching.get(key, 0.0) > now:
-            return max(done, self.fetching[key]), "pending"
+        if self.fetch_done_at.get(key, 0.0) > now:
+            return max(done, self.fetch_done_at[key]), "pending"
         if key not in self.stored_keys:
             fetched = self.origin.fetch(done)
-            self.fetching[key] = fetched
+            self.fetch_done_at[key] = fetched
             self.store(key)
             return fetched, "miss"
         self.stored_keys.move_to_end(key)
@@ -236,13 +253,13 @@
             self.stored_keys.popitem(last=False)
 
     def _collapse_if_overloaded(self, now: float) -> None:
-        """Count a command; a node that warms up collapses when it is sent too many."""
+        """Count a command, and collapse if too many came while the node warms up."""
         self.command_times.append(now)
-        while self.command_times and self.command_times[0] < now - self.fall_span:
+        while self.command_times and self.command_times[0] < now - self.collapse_s:
             self.command_times.popleft()
-        cold = self.began is not None and now - self.began < self.cold
-        overloaded = len(self.command_times) > self.fall * self.capacity(now) * self.fall_span
+        cold = self.began is not None and now - self.began < self.warm_up_s
+        overloaded = len(self.command_times) > self.collapse_factor * self.capacity(now) * self.collapse_s
         if cold and overloaded and now >= self.down_until:
-            self.down_until = now + self.fall_span
+            self.down_until = now + self.collapse_s
             self.collapses.append(now)
             self.start(self.down_until)
--- a/calicofall/testbed/startup_simulation.py
+++ b/calicofall/testbed/startup_simulation.py
@@ -1,7 +1,8 @@
-"""Simulates the start of a large fleet in one process: the real decisions, with simulated time and messages.
+"""Simulation of the start of a large fleet in one process, with simulated time and messages.
 
-Invariants: the simulation decides nothing for a proxy and does not look into one. A proxy is fed what it
-would see on a network, and is called again when it asks for it.
+Invariants:
+    All decisions are made by the modules that a proxy uses; they see only what they would see on a network,
+    and are called again when they ask for it.
 """
 
 from collections.abc import Callable
@@ -18,62 +19,68 @@
 from calicofall.testbed.server_models import DiscoveryModel
 
 MESSAGE_DELAY_S = 0.001
-ATTEMPT_TIMEOUT_S = 3.0  # an attempt that nobody answers is given up
+ATTEMPT_TIMEOUT_S = 3.0  # of an attempt that is not answered
 MAX_BACKOFF_S = 5.0
 FIRST_WALL_CLOCK_S = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """A span of simulated time, in seconds: from `begin` up to, but without, `end`."""
+    """A half-open interval of simulated time: from `begin` (s) up to, but without, `end` (s)."""
 
     begin: float = 0.0
     end: float = 0.0
 
     def covers(self, moment: float) -> bool:
-        """Whether a moment lies in the span."""
+        """Return whether a time (s) lies in the interval."""
         return self.begin <= moment < self.end
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StartupScenario:
-    """Which proxies start, and what goes wrong meanwhile. Times are in seconds."""
+    """The proxies that start, and the faults meanwhile."""
 
     proxies: int
-    rate_per_s: float  # watches that the discovery service can begin
+    rate_per_s: float  # watches that the discovery service can begin in a second
     seed: int
-    starting: int | None = None  # how many start; the others serve already; None: all
+    starting: int | None = None  # number of proxies that start, while the others serve; None: all
     starts_within_s: float = 0.0
-    peer_messages: bool = True  # whether proxies ask each other
-    rate_configured: bool = True  # whether the settings tell the rate
+    peer_messages: bool = True  # whether proxies send each other messages
+    rate_configured: bool = True  # whether the settings contain the rate
     lost_fraction: float = 0.0  # of datagrams
-    clock_difference_s: float = 0.0  # by which the clocks of proxies differ at most
+    clock_difference_s: float = 0.0  # largest difference between the clocks of two proxies
     service_silent: Span = Span()
-    stopped: Span = Span()  # when the processes of some proxies do not run
-    stopped_every: int = 0  # one of so many proxies is stopped; 0: none
+    stopped: Span = Span()  # when the processes of some proxies are stopped
+    stopped_every: int = 0  # every n-th proxy is stopped; 0: none
     duration_s: float = 600.0
 
 
 class StartupResult(NamedTuple):
-    """What the service saw, and when proxies had their lists (seconds since the first start)."""
+    """The result of a simulated start.
+
+    Attributes:
+        attempt_times: When the discovery service received attempts (s), in order.
+        list_times: When proxies received their endpoint lists (s), in order.
+        datagrams: Number of datagrams between proxies.
+    """
 
     attempt_times: list[float]
-    list_times: list[float]  # in order
+    list_times: list[float]
     datagrams: int
 
     @property
     def peak(self) -> int:
-        """The most attempts in any second."""
+        """The largest number of attempts in any second."""
         return most_in_span(self.attempt_times)[0]
 
 
 class StartingNode:
-    """One simulated proxy: its discovery schedule and its contention estimate."""
+    """A simulated proxy: its discovery schedule and its contention estimate."""
 
     def __init__(self, number: int, scenario: StartupScenario, clock_error_s: float) -> None:
         self.number = number
         self.has_list = False
-        self.waits = False  # whether its first attempt has been scheduled
+        self.attempt_scheduled = False  # whether its first attempt has been scheduled
         self.stopped = Span()
         random_generator = Random(scenario.seed * 1_000_003 + number)
         rate = scenario.rate_per_s if scenario.rate_configured else None
@@ -87,7 +94,7 @@
 
 
 class Event(NamedTuple):
-    """Something that happens to a proxy. The sequence number keeps the order of events of one moment."""
+    """A scheduled call for a proxy. The sequence number orders events of the same moment."""
 
     at_s: float
     sequence: int
@@ -96,7 +103,7 @@
 
 
 class StartupSimulation:
-    """Plays a scenario: `run` returns what came of it."""
+    """The simulation of a scenario, whose result `run` returns."""
 
     def __init__(self, scenario: StartupScenario) -> None:
         self.scenario = scenario
@@ -127,14 +134,14 @@
                 self._schedule(start_s, node, partial(self._start, node))
 
     def run(self) -> StartupResult:
-        """Plays until all have their lists, or the scenario is over."""
-        wanted = sum(not node.has_list for node in self.nodes)
-        while self.events and len(self.list_times) < wanted:
+        """Run until all proxies have their lists, or to the end of the scenario."""
+        expected = sum(not node.has_list for node in self.nodes)
+        while self.events and len(self.list_times) < expected:
             event = heappop(self.events)
             if event.at_s > self.scenario.duration_s:
                 break
             if event.node.stopped.covers(event.at_s):
-                # A process that is stopped sees the event when it runs again.
+                # A process that is stopped handles the event when it is resumed.
                 self._schedule(event.node.stopped.end, event.node, event.action)
                 continue
             self.now = event.at_s
@@ -158,24 +165,24 @@
         sample, peers = estimate.begin_sample(self.now)
         for number in peers:
             peer = self.nodes[number]
-            self._send(peer, partial(self._answer, peer, node, estimate, sample))
-        self._schedule(estimate.sample_ends_at_s, node, partial(self._look_at_sample, node, estimate, sample))
+            self._send(peer, partial(self._send_answer, peer, node, estimate, sample))
+        self._schedule(estimate.sample_ends_at_s, node, partial(self._check_sample, node, estimate, sample))
 
-    def _answer(
+    def _send_answer(
         self, peer: StartingNode, node: StartingNode, estimate: ContentionEstimate, sample: int
     ) -> None:
-        self._send(node, partial(self._hear_answer, node, estimate, sample, peer.number, peer.has_list))
+        self._send(node, partial(self._on_answer, node, estimate, sample, peer.number, peer.has_list))
 
-    def _hear_answer(
+    def _on_answer(
         self, node: StartingNode, estimate: ContentionEstimate, sample: int, peer: int, has_list: bool
     ) -> None:
         estimate.count_answer(sample, peer, has_list)
-        self._look_at_sample(node, estimate, sample)
+        self._check_sample(node, estimate, sample)
 
-    def _look_at_sample(self, node: StartingNode, estimate: ContentionEstimate, sample: int) -> None:
+    def _check_sample(self, node: StartingNode, estimate: ContentionEstimate, sample: int) -> None:
         waiting = estimate.waiting_fraction(self.now)
-        if sample == estimate.sample_id and not node.waits and waiting is not None:
-            node.waits = True
+        if sample == estimate.sample_id and not node.attempt_scheduled and waiting is not None:
+            node.attempt_scheduled = True
             self._schedule_attempt(node, node.schedule.first_attempt_at(self.now, waiting))
 
     def _schedule_attempt(self, node: StartingNode, at_s: float) -> None:
@@ -188,7 +195,7 @@
             return
         self.attempt_times.append(self.now)
         if self.scenario.service_silent.covers(self.now):
-            self._schedule(self.now + ATTEMPT_TIMEOUT_S, node, partial(self._give_up, node))
+            self._schedule(self.now + ATTEMPT_TIMEOUT_S, node, partial(self._on_timeout, node))
             return
         if self.service.request_watch(self.now) is None:
             self._schedule_attempt(node, node.schedule.retry_at_after_refusal(self.now))
@@ -197,5 +204,5 @@
         node.schedule.reset_backoff()
         self.list_times.append(self.now)
 
-    def _give_up(self, node: StartingNode) -> None:
+    def _on_timeout(self, node: StartingNode) -> None:
         self._schedule_attempt(node, node.schedule.retry_at_after_failure(self.now))
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -1,4 +1,4 @@
-"""Loss breakdown: read from logs of any kind, summing up to what clients lost."""
+"""Loss breakdown: read from logs of several kinds; the causes sum up to what clients lost."""
 
 import asyncio
 from pathlib import Path
@@ -14,7 +14,7 @@
 from calicofall.testbed.history import ClientAnswer, ClientRequest, History
 from calicofall.testbed.runner import run_scenario
 
-PLAN = scenario.parse_scenario(
+SCENARIO = scenario.parse_scenario(
     {
         "name": "account",
         "seconds": 60.0,
@@ -61,7 +61,7 @@
     ],
 )
 def test_lost_requests_of_each_kind_have_one_cause_and_sum_up(line: dict[str, str], cause: str) -> None:
-    records = History(
+    history = History(
         intents=[
             ClientRequest(1.0, "read", 1.1, last="0"),
             ClientRequest(1.0, "read", None, last="1"),
@@ -71,51 +71,51 @@
         ],
         answers=[ClientAnswer(1.2, "p0", "1", "exhausted"), ClientAnswer(3.2, "p1", "2", "closed")],
     )
-    causes = loss_breakdown.count_lost_requests(PLAN, records, {"p0": [line]})
+    causes = loss_breakdown.count_lost_requests(SCENARIO, history, {"p0": [line]})
     assert causes == {cause: 1, "no proxy that serves": 1, "its proxy died": 1, "not in the proxies' logs": 1}
 
 
 def test_logs_with_answers_and_startups_are_summed_up_by_period_and_phase() -> None:
-    rows = [
+    lines = [
         request_line(str(n), "completed" if n % 4 else "exhausted", why="fleet")
         | {"at": str(100.0 + n / 10.0)}
         for n in range(20)
     ]
     starts = [{"event": "start", "phase": "list heard", "ms": str(ms), "at": "1"} for ms in (30, 10, 20)]
-    told = {"p0": rows[::2] + starts, "p1": rows[1::2]}
-    assert loss_breakdown.answers_by_period(told, 1.0) == [
+    proxy_logs = {"p0": lines[::2] + starts, "p1": lines[1::2]}
+    assert loss_breakdown.answers_by_period(proxy_logs, 1.0) == [
         (0.0, 10, 0.7, "refused: fleet", 0.3),
         (1.0, 10, 0.8, "refused: fleet", 0.2),
     ]
     assert loss_breakdown.answers_by_period({}, 1.0) == [] and loss_breakdown.startup_times(
-        told, "list heard"
+        proxy_logs, "list heard"
     ) == [
         10.0,
         20.0,
         30.0,
     ]
-    assert loss_breakdown.startup_times(told, "door open") == []
+    assert loss_breakdown.startup_times(proxy_logs, "door open") == []
 
 
 def test_ejections_with_one_faulty_endpoint_give_errors_and_detection_delay() -> None:
     def aside(at: float, caches: str | None = None) -> dict[str, str]:
         return {"event": "aside", "at": str(1000.0 + at)} | ({"caches": caches} if caches else {})
 
-    told = {
+    proxy_logs = {
         "p0": [aside(5.0, "c1"), aside(11.0), aside(22.0, "c2"), aside(40.5)],
         "p1": [aside(24.0, "c2,c3"), aside(27.0, "c2"), aside(55.0)],
     }
-    figures = loss_breakdown.ejection_figures(PLAN, History(offset=1000.0), told)
-    # c1 for 6 s and c3 for 3 s of sixty, two proxies, four caches.
+    figures = loss_breakdown.ejection_figures(SCENARIO, History(offset=1000.0), proxy_logs)
+    # Ejected in error: c1 for 6 s and c3 for 3 s of 60 s, with two proxies and four caches.
     assert figures["aside_in_error_a_minute"] == 2.0
     assert figures["aside_in_error_part"] == pytest.approx(9.0 / (60.0 * 2 * 4), rel=0.01)
     assert figures["sick_known_95_s"] == {"c2": 4.0} and figures["sick_known_by"] == {"c2": 2}
 
 
 def test_log_files_with_other_lines_and_bytes_are_read(tmp_path: Path) -> None:
-    home = tmp_path / "p0"
-    home.mkdir()
-    (home / "log").write_bytes(
+    proxy_folder = tmp_path / "p0"
+    proxy_folder.mkdir()
+    (proxy_folder / "log").write_bytes(
         b'at=1.5 level=debug event=rpc id=7 why="no list"\nTraceback: x=1\n\xff\xfe\nat='
     )
     assert loss_breakdown.read_logs(tmp_path) == {
@@ -133,8 +133,8 @@
     assert shown.exit_code == 0 and "1 proxies, 2 answers, 1 times a cache set aside" in shown.output
     assert "0.5000  refused: fleet" in shown.output and "read: 2; in time 0.500" in shown.output
     (tmp_path / "n0.log").write_text("at=1.0 level=info event=serving\n")
-    none = CliRunner().invoke(main, ["stage", "account", str(tmp_path)])
-    assert none.exit_code == 2 and "--log-level DEBUG" in none.output and none.output.count("\n") == 1
+    empty = CliRunner().invoke(main, ["stage", "account", str(tmp_path)])
+    assert empty.exit_code == 2 and "--log-level DEBUG" in empty.output and empty.output.count("\n") == 1
 
 
 def test_proxy_answering_a_request_logs_it_at_debug_only(caplog: pytest.LogCaptureFixture) -> None:
@@ -158,9 +158,9 @@
 
 
 @pytest.mark.xdist_group(PROCESS_GROUPS[0])
-def test_an_account_of_processes_is_shown_and_kept(tmp_path: Path) -> None:
-    """Four processes before one slow cache: what clients lost is what the account sums up to."""
-    plan = scenario.parse_scenario(
+def test_loss_breakdown_of_processes_is_shown_and_stored(tmp_path: Path) -> None:
+    """Four processes, one slow cache node and one killed proxy: the causes sum up to what clients lost."""
+    faulty_scenario = scenario.parse_scenario(
         {
             "name": "accounted",
             "seconds": 8.0,
@@ -174,11 +174,13 @@
         },
         "accounted",
     )
-    verdict, records = asyncio.run(asyncio.to_thread(run_scenario, plan, tmp_path))
-    report.keep(tmp_path, plan, verdict, records)
-    told = report.load([str(tmp_path)])[0]["account"]
-    late = [one for one in records.intents if one.done is None or one.done > one.at + 0.2]
-    assert told["lost"] == len(late) == sum(told["by_cause"].values()) > 5
-    assert told["by_cause"].get("not in the proxies' logs", 0) <= 0.2 * len(late)
+    verdict, history = asyncio.run(asyncio.to_thread(run_scenario, faulty_scenario, tmp_path))
+    report.keep(tmp_path, faulty_scenario, verdict, history)
+    breakdown = report.load([str(tmp_path)])[0]["account"]
+    late_requests = [
+        request for request in history.intents if request.done is None or request.done > request.at + 0.2
+    ]
+    assert breakdown["lost"] == len(late_requests) == sum(breakdown["by_cause"].values()) > 5
+    assert breakdown["by_cause"].get("not in the proxies' logs", 0) <= 0.2 * len(late_requests)
     shown = CliRunner().invoke(main, ["stage", "report", str(tmp_path)]).output
     assert "by the proxies' own logs" in shown and "aside in error" in shown
