--- a/calicofall/testbed/membership_simulation.py
+++ b/calicofall/testbed/membership_simulation.py
@@ -41,13 +41,15 @@
         instances: list[Membership] = [node.instance for node in running]
         return [instance.away_members() for instance in instances]
 
-    def time_until_views_equal(self, away: frozenset[int], limit: float, part: float = 1.0) -> float | None:
+    def time_until_views_equal(
+        self, away: frozenset[int], limit: float, fraction: float = 1.0
+    ) -> float | None:
         """Return how long it takes until enough running nodes consider exactly these members away.
 
         Args:
             away: The members.
             limit: Longest time that is simulated (s).
-            part: The fraction of the running nodes that is enough.
+            fraction: The fraction of the running nodes that is enough.
 
         Returns:
             The time in seconds; None: longer than the limit.
@@ -55,7 +57,7 @@
         began = self.now
         while self.now < began + limit:
             views = self.away_views()
-            if sum(view == away for view in views) >= part * len(views):
+            if sum(view == away for view in views) >= fraction * len(views):
                 return self.now - began
             self.run(self.now + OBSERVATION_INTERVAL_S)
         return None
--- a/calicofall/testbed/outlier_simulation.py
+++ b/calicofall/testbed/outlier_simulation.py
@@ -21,7 +21,7 @@
 OBSERVATION_INTERVAL_S = 0.1
 OWN_EJECTION_S = 15.0  # after a failure, as long as the router's recovery ramp
 MIN_WAKE_INTERVAL_S = 0.02
-EJECTED_FRACTION = 0.1  # of the requests to an endpoint that is still sent while it is avoided
+EJECTED_FRACTION = 0.1  # of its requests, which a proxy still sends to an endpoint that it avoids
 UNHEALTHY_FAILURE_FRACTION = 0.9
 
 
@@ -29,8 +29,8 @@
     """A fleet of proxies that each send `rate` requests a second to each of `caches` endpoints.
 
     A healthy endpoint fails a fraction `false_failure_fraction` of them. Proxies are assigned to `zones` in
-    turn. A proxy avoids an endpoint for OWN_EJECTION_S after each failure of its own, as its few requests
-    tell it no more. With `communicates` off, proxies send no messages.
+    turn. A proxy avoids an endpoint for OWN_EJECTION_S after each failure of its own requests,
+    which are too few for a better decision. With `communicates` off, proxies send no messages.
     """
 
     def __init__(  # noqa: PLR0913 -- tests name these as keywords
--- a/calicofall/testbed/routing_simulation.py
+++ b/calicofall/testbed/routing_simulation.py
@@ -99,7 +99,7 @@
         self.methods = {method["name"]: method for method in deployment["methods"]}
         # By proxy and endpoint: since when each idle connection is idle (ms).
         self.idle_since: dict[tuple[int, str], list[float]] = defaultdict(list)
-        self.opened_connections = 0  # connections
+        self.opened_connections = 0
         self.request_count = 0
         self.in_time = 0
         self.late = 0
--- a/calicofall/testbed/server_models.py
+++ b/calicofall/testbed/server_models.py
@@ -170,7 +170,7 @@
         self.down_until = 0.0
         self.command_times: deque[float] = deque()  # when commands came over the last `collapse_s` (s)
         self.collapses: list[float] = []
-        self.slowdown = 1.0  # factor on the time that a request occupies a slot
+        self.slowdown = 1.0  # factor on the time that a request or handshake occupies a slot
         # Factor on the time of large answers. The additional time passes in transfer, without a slot in use.
         self.large_answer_slowdown = 1.0
 
