--- a/calicofall/testbed/clients.py
+++ b/calicofall/testbed/clients.py
@@ -1,7 +1,9 @@
-"""Clients behind a front that deals connections: open loop, drawn ahead, timed from the intended moment.
+"""Clients behind a load balancer: an open loop of requests, drawn ahead and timed from the intended moment.
 
-Owns the clients' connections and what the front knows of proxies. Must never wait for one RPC before the next
-is due, or take a proxy's word for more than PING.
+The load balancer knows nothing of a proxy but its answers to PING.
+
+Invariants:
+    No request waits for an earlier one to complete.
 """
 
 import asyncio
@@ -21,24 +23,31 @@
 from calicofall.testbed.history import ClientAnswer, ClientAttempt, ClientRequest, History
 from calicofall.testbed.scenario import LARGE_VALUE_BYTES, SMALL_VALUE_BYTES, Scenario, expand_group
 
-REDIAL = 0.1  # s until a client whom nobody serves tries again
-HOT = 0  # the rank of the key that is hot for a time
-PING = 1.0  # s between two looks at a proxy that is up
+RECONNECT_DELAY_S = 0.1  # until a client that has found no proxy tries again
+HOT_KEY_RANK = 0  # rank of the key that becomes hot
+PING_INTERVAL_S = 1.0  # between two pings of a proxy that is available
+
 
+class TrafficPlan:
+    """All requests of a scenario, drawn ahead or read from a record of traffic.
 
-class Draw:
-    """All RPCs of a drill, drawn ahead: when, method, key, tenant."""
+    Attributes:
+        requests: The intended time (s since the start of the run), method, key and tenant of each.
+    """
 
     def __init__(self, scenario: Scenario) -> None:
         traffic, random_generator = scenario.traffic, Random(scenario.seed)
         self.random_generator = Random(scenario.seed + 1)
-        tops = list(accumulate(1.0 / (rank + 1) ** traffic.skew for rank in range(traffic.keys)))
+        cumulative_key_weights = list(
+            accumulate(1.0 / (rank + 1) ** traffic.skew for rank in range(traffic.keys))
+        )
         bursts = [(e.at, e.until or scenario.seconds, e.amount) for e in scenario.event if e.do == "burst"]
-        self.rpcs: list[tuple[float, str, str, str]] = []
-        other = Random(scenario.seed + 2)  # of its own: drills without a second tenant are as they were
+        self.requests: list[tuple[float, str, str, str]] = []
+        # A generator of its own, so that scenarios without a second tenant draw the same numbers as before.
+        second_generator = Random(scenario.seed + 2)
         at = traffic.begins
         if traffic.record is not None:
-            self.rpcs = [
+            self.requests = [
                 (at + begin, method, key, tenant)
                 for begin, method, key, tenant in orjson.loads(Path(traffic.record).read_bytes())
                 if at + begin < scenario.seconds
@@ -46,14 +55,14 @@
             return
         while True:
             rate = traffic.per_s
-            for begin, end, times in bursts:
-                rate *= times if begin <= at < end else 1.0
+            for begin, end, factor in bursts:
+                rate *= factor if begin <= at < end else 1.0
             at += random_generator.expovariate(rate)
             if at >= scenario.seconds:
                 break
-            key = bisect_left(tops, random_generator.random() * tops[-1])
-            if traffic.hot and scenario.hot_key_active(at) and other.random() < traffic.hot:
-                key = HOT
+            key = bisect_left(cumulative_key_weights, random_generator.random() * cumulative_key_weights[-1])
+            if traffic.hot and scenario.hot_key_active(at) and second_generator.random() < traffic.hot:
+                key = HOT_KEY_RANK
             kind = random_generator.random()
             method = (
                 "order"
@@ -62,227 +71,298 @@
                 if kind < traffic.orders + traffic.writes
                 else "read"
             )
-            tenant = "bulk" if traffic.bulk and other.random() < traffic.bulk else "shop"
-            self.rpcs.append((at, method, f"{key + 1:016x}", tenant))
+            tenant = "bulk" if traffic.bulk and second_generator.random() < traffic.bulk else "shop"
+            self.requests.append((at, method, f"{key + 1:016x}", tenant))
 
 
-class Link(asyncio.Protocol):
-    """A client's connection to a proxy: one command at a time."""
+class ClientConnection(asyncio.Protocol):
+    """A client's connection to a proxy: one command at a time.
+
+    Attributes:
+        on_answer: Called with the connection and the answer that is awaited; None: no answer is awaited.
+        awaiting_first_byte: Whether no byte has come since the last command was sent.
+    """
 
     def __init__(self, clients: "Clients", proxy: str) -> None:
-        self.clients, self.proxy, self.ring = clients, proxy, RingBuffer()
-        self.parser, self.transport, self.used = CommandParser(self.ring), None, 0
-        self.owed: Callable | None = None  # what to do with the answer that is owed
-        self.over, self.fresh = False, True  # fresh: nothing has come for the command that is out
+        self.clients, self.proxy, self.receive_buffer = clients, proxy, RingBuffer()
+        self.parser, self.transport, self.commands_sent = CommandParser(self.receive_buffer), None, 0
+        self.on_answer: Callable | None = None
+        self.closed, self.awaiting_first_byte = False, True
 
     def connection_made(self, transport: Any) -> None:
+        """Keep the transport."""
         self.transport = transport
 
-    def ask(self, data: bytes, then: Callable) -> None:
-        self.owed, self.fresh = then, True
-        self.used += 1
+    def send(self, data: bytes, on_answer: Callable) -> None:
+        """Send a command; `on_answer` is called with its answer, or with None if the connection is lost."""
+        self.on_answer, self.awaiting_first_byte = on_answer, True
+        self.commands_sent += 1
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        self.fresh = False
-        self.ring.write(data)
+        """Hand on a complete answer, and record one that no command awaits."""
+        self.awaiting_first_byte = False
+        self.receive_buffer.write(data)
         try:
             while (value := self.parser.read()) is not resp.INCOMPLETE:
-                if self.owed is None:
-                    self.clients.saw(self.proxy, "", "unowed")
+                if self.on_answer is None:
+                    self.clients.record_answer(self.proxy, "", "unowed")
                     continue
-                then, self.owed = self.owed, None
-                then(self, value)
+                on_answer, self.on_answer = self.on_answer, None
+                on_answer(self, value)
         except resp.ProtocolError:
             self.transport.abort()
 
     def eof_received(self) -> bool:
+        """Close the connection."""
         return False
 
     def connection_lost(self, _reason: Exception | None) -> None:
-        self.over = True
+        """Remove the connection from the idle ones, and report an awaited answer as lost."""
+        self.closed = True
         if self in (idle := self.clients.idle[self.proxy]):
             idle.remove(self)
-        if self.owed is not None:
-            then, self.owed = self.owed, None
-            then(self, None)
+        if self.on_answer is not None:
+            on_answer, self.on_answer = self.on_answer, None
+            on_answer(self, None)
 
 
 class Clients:
+    """All clients of a run, and the load balancer in front of the proxies.
+
+    Attributes:
+        available_proxies: Proxies to which the load balancer sends clients.
+        first_tenant_proxies: The only proxies that clients of the first tenant use; None: all.
+        begun_count: Requests that have begun.
+        completed_count: Requests that have completed.
+        unavailable_ping_interval_s: Time between two pings of a proxy that is not available (s).
+    """
+
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         scenario: Scenario,
-        records: History,
-        doors: dict[str, tuple[str, int]],
+        history: History,
+        proxy_addresses: dict[str, tuple[str, int]],
     ) -> None:
-        self.loop, self.scenario, self.records, self.doors = loop, scenario, records, doors
-        self.draw = Draw(scenario)
-        self.random_generator, self.count = self.draw.random_generator, 0
-        self.up: list[str] = []  # proxies that the front deals to
-        self.idle: dict[str, list[Link]] = defaultdict(list)
-        fleet, through = (
-            scenario.fleet,
-            scenario.traffic.through,
-        )  # whom the first tenant's clients ask, where told
-        self.through: frozenset[str] | None = through and expand_group(
-            through, fleet.proxies, fleet.caches, fleet.zones
+        self.loop, self.scenario, self.history, self.proxy_addresses = (
+            loop,
+            scenario,
+            history,
+            proxy_addresses,
+        )
+        self.traffic_plan = TrafficPlan(scenario)
+        self.random_generator, self.attempt_count = self.traffic_plan.random_generator, 0
+        self.available_proxies: list[str] = []
+        self.idle: dict[str, list[ClientConnection]] = defaultdict(list)
+        fleet, group = scenario.fleet, scenario.traffic.through
+        self.first_tenant_proxies: frozenset[str] | None = group and expand_group(
+            group, fleet.proxies, fleet.caches, fleet.zones
         )
         self.tasks: set[asyncio.Task] = set()
-        self.done = self.given = 0
-        self.probe = max(0.1, len(doors) / 1000.0)  # s between two looks at a proxy that is not up
+        self.completed_count = self.begun_count = 0
+        self.unavailable_ping_interval_s = max(0.1, len(proxy_addresses) / 1000.0)
 
-    def size(self, key: str) -> int:
+    def value_size(self, key: str) -> int:
+        """Return the size of a key's value (bytes)."""
         return LARGE_VALUE_BYTES if self.scenario.has_large_value(key) else SMALL_VALUE_BYTES
 
-    def start(self, began: float) -> None:
-        self.began = began
-        for proxy in self.doors:
-            self.hold(self.watch(proxy))
-        self.hold(self.play())
+    def start(self, started_at: float) -> None:
+        """Start pings and traffic; `started_at`: start of the run on the loop's clock (s)."""
+        self.started_at = started_at
+        for proxy in self.proxy_addresses:
+            self.start_task(self.monitor_proxy(proxy))
+        self.start_task(self.send_traffic())
 
-    def hold(self, steps: Any) -> None:
-        task = self.loop.create_task(steps)
+    def start_task(self, coroutine: Any) -> None:
+        """Run a coroutine as a task that is cancelled at the end of the run."""
+        task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def saw(self, proxy: str, name: str, kind: str) -> None:
-        self.records.client_answers.append(ClientAnswer(self.loop.time(), proxy, name, kind))
+    def record_answer(self, proxy: str, attempt_id: str, kind: str) -> None:
+        """Record the end of an attempt by its id; empty: no attempt awaited it."""
+        self.history.client_answers.append(ClientAnswer(self.loop.time(), proxy, attempt_id, kind))
 
-    # The front
+    # Load balancer
 
-    async def watch(self, proxy: str) -> None:
-        """Whether a proxy says yes to PING; the front notices its death late."""
-        link, lost = None, None
+    async def monitor_proxy(self, proxy: str) -> None:
+        """Ping a proxy periodically, and keep it among the available ones while it answers PONG.
+
+        An error reply makes it unavailable at once; no answer does so only after the scenario's `notices_s`.
+        """
+        connection, unresponsive_since = None, None
         while True:
-            said = None
+            pong = None
             try:
-                if link is None or link.over:
-                    _, link = await self.loop.create_connection(lambda: Link(self, proxy), *self.doors[proxy])
+                if connection is None or connection.closed:
+                    _, connection = await self.loop.create_connection(
+                        lambda: ClientConnection(self, proxy), *self.proxy_addresses[proxy]
+                    )
                 answer: asyncio.Future = self.loop.create_future()
-                link.ask(
+                connection.send(
                     b"*1\r\n$4\r\nPING\r\n",
                     lambda _, value, answer=answer: answer.done() or answer.set_result(value),
                 )
                 async with asyncio.timeout(1.0):
-                    said = await answer
+                    pong = await answer
             except (OSError, TimeoutError):
-                if link is not None and link.transport is not None:
-                    link.transport.abort()
-                link = None
+                if connection is not None and connection.transport is not None:
+                    connection.transport.abort()
+                connection = None
             now = self.loop.time()
-            if isinstance(said, resp.SimpleString) and said == b"PONG":
-                lost = None
-                if proxy not in self.up:
-                    self.records.proxy_ready_events.append((now, proxy))
-                    self.up.append(proxy)
-            elif proxy in self.up:
-                lost = lost or now
-                if isinstance(said, resp.ErrorReply) or now - lost >= self.scenario.traffic.notices_s:
-                    self.up.remove(proxy)
-                    lost = None
-            await asyncio.sleep(PING if proxy in self.up and lost is None else self.probe)
-
-    # The clients
-
-    async def play(self) -> None:
-        for at, method, key, tenant in self.draw.rpcs:
-            wait = self.began + at - self.loop.time()
-            if wait > 0.0:
-                await asyncio.sleep(wait)
-            self.given += 1
-            self.hold(self.want(self.began + at, method, key, tenant))
-
-    async def want(self, at: float, method: str, key: str, tenant: str) -> None:
-        """One RPC, with all its tries."""
+            if isinstance(pong, resp.SimpleString) and pong == b"PONG":
+                unresponsive_since = None
+                if proxy not in self.available_proxies:
+                    self.history.proxy_ready_events.append((now, proxy))
+                    self.available_proxies.append(proxy)
+            elif proxy in self.available_proxies:
+                unresponsive_since = unresponsive_since or now
+                if (
+                    isinstance(pong, resp.ErrorReply)
+                    or now - unresponsive_since >= self.scenario.traffic.notices_s
+                ):
+                    self.available_proxies.remove(proxy)
+                    unresponsive_since = None
+            await asyncio.sleep(
+                PING_INTERVAL_S
+                if proxy in self.available_proxies and unresponsive_since is None
+                else self.unavailable_ping_interval_s
+            )
+
+    # Clients
+
+    async def send_traffic(self) -> None:
+        """Begin each request of the plan at its intended moment."""
+        for at, method, key, tenant in self.traffic_plan.requests:
+            wait_s = self.started_at + at - self.loop.time()
+            if wait_s > 0.0:
+                await asyncio.sleep(wait_s)
+            self.begun_count += 1
+            self.start_task(self.run_request(self.started_at + at, method, key, tenant))
+
+    async def run_request(self, at: float, method: str, key: str, tenant: str) -> None:
+        """Send a request intended at a time (s), with all its attempts, and record it.
+
+        Rejections are retried after the delay that the proxy asks for, and attempts whose connection closed
+        before any answer are retried at once.
+        """
         traffic = self.scenario.traffic
-        ends, mark = at + traffic.hard_ms / 1000.0, f"{self.random_generator.getrandbits(64):016x}"
-        done, tries, last = None, 0, ""
-        while tries <= traffic.repeats and (left := ends - self.loop.time()) > 0.02:
-            up = (
-                self.up
-                if tenant != "shop" or not self.through
-                else [one for one in self.up if one in self.through]
+        deadline, idempotency_key = (
+            at + traffic.hard_ms / 1000.0,
+            f"{self.random_generator.getrandbits(64):016x}",
+        )
+        completed_at, attempts, last_attempt_id = None, 0, ""
+        while attempts <= traffic.repeats and (remaining_s := deadline - self.loop.time()) > 0.02:
+            candidates = (
+                self.available_proxies
+                if tenant != "shop" or not self.first_tenant_proxies
+                else [proxy for proxy in self.available_proxies if proxy in self.first_tenant_proxies]
             )
-            proxy = self.random_generator.choice(up) if up else None
-            link = await self.reach(proxy) if proxy else None
-            if link is None:
-                await asyncio.sleep(min(REDIAL, left))
+            proxy = self.random_generator.choice(candidates) if candidates else None
+            connection = await self.connect(proxy) if proxy else None
+            if connection is None:
+                await asyncio.sleep(min(RECONNECT_DELAY_S, remaining_s))
                 continue
-            tries += 1
-            left = max(0.02, ends - self.loop.time())
-            last = f"{self.count + 1:016x}"
-            kind, wait = await self.attempt(link, method, key, mark, tenant, left)
+            attempts += 1
+            remaining_s = max(0.02, deadline - self.loop.time())
+            last_attempt_id = f"{self.attempt_count + 1:016x}"
+            kind, wait_ms = await self.attempt(connection, method, key, idempotency_key, tenant, remaining_s)
             if kind == "completed":
-                done = self.loop.time()
-                self.done += 1
+                completed_at = self.loop.time()
+                self.completed_count += 1
                 break
             if kind == "exhausted":
-                await asyncio.sleep(min(wait / 1000.0, max(0.0, ends - self.loop.time())))
+                await asyncio.sleep(min(wait_ms / 1000.0, max(0.0, deadline - self.loop.time())))
             elif kind != "crossed":
                 break
-        self.records.client_requests.append(ClientRequest(at, method, done, tenant, last))
+        self.history.client_requests.append(ClientRequest(at, method, completed_at, tenant, last_attempt_id))
 
-    async def reach(self, proxy: str) -> Link | None:
+    async def connect(self, proxy: str) -> ClientConnection | None:
+        """Return an idle connection or a new one; None: the proxy does not accept any."""
         while self.idle[proxy]:
-            link = self.idle[proxy].pop()
-            if not link.over and not link.transport.is_closing():
-                return link
+            connection = self.idle[proxy].pop()
+            if not connection.closed and not connection.transport.is_closing():
+                return connection
         try:
             async with asyncio.timeout(0.5):
-                _, link = await self.loop.create_connection(lambda: Link(self, proxy), *self.doors[proxy])
-            return link
+                _, connection = await self.loop.create_connection(
+                    lambda: ClientConnection(self, proxy), *self.proxy_addresses[proxy]
+                )
+            return connection
         except (OSError, TimeoutError):
             return None
 
     async def attempt(
-        self, link: Link, method: str, key: str, mark: str, tenant: str, left: float
+        self,
+        connection: ClientConnection,
+        method: str,
+        key: str,
+        idempotency_key: str,
+        tenant: str,
+        remaining_s: float,
     ) -> tuple[str, float]:
-        self.count += 1
-        name = f"{self.count:016x}"
-        pairs = f"c={method},t={tenant},d={left * 1000.0:.0f}" + (f",k={mark}" if method != "read" else "")
-        parts = [b"C.GET" if method == "read" else b"C.SET", key.encode(), name.encode(), pairs.encode()]
+        """Send one attempt, and return the kind of its end and the delay that a rejection asks for (ms).
+
+        `remaining_s` is the time until the request's deadline (s); an answer is awaited for 0.5 s longer.
+        """
+        self.attempt_count += 1
+        attempt_id = f"{self.attempt_count:016x}"
+        arguments = f"c={method},t={tenant},d={remaining_s * 1000.0:.0f}" + (
+            f",k={idempotency_key}" if method != "read" else ""
+        )
+        command = [
+            b"C.GET" if method == "read" else b"C.SET",
+            key.encode(),
+            attempt_id.encode(),
+            arguments.encode(),
+        ]
         if method != "read":
-            parts.append(b"new")
+            command.append(b"new")
         answer: asyncio.Future = self.loop.create_future()
-        self.records.client_attempts.append(ClientAttempt(self.loop.time(), link.proxy, name, method, left))
-        late = self.loop.call_later(left + 0.5, self.waited, answer)
+        self.history.client_attempts.append(
+            ClientAttempt(self.loop.time(), connection.proxy, attempt_id, method, remaining_s)
+        )
+        timer = self.loop.call_later(remaining_s + 0.5, self.time_out, answer)
 
-        def then(link: Link, value: Any) -> None:
-            kind, wait = self.read(link, name, value)
+        def on_answer(connection: ClientConnection, value: Any) -> None:
+            kind, wait_ms = self.classify_answer(connection, attempt_id, value)
             if not answer.done():
-                answer.set_result((kind, wait))
-                self.saw(link.proxy, name, kind)
-            if value is not None and not link.over:
-                self.idle[link.proxy].append(link)
-
-        link.ask(resp.encode_command(parts), then)
-        kind, wait = await answer
-        late.cancel()
+                answer.set_result((kind, wait_ms))
+                self.record_answer(connection.proxy, attempt_id, kind)
+            if value is not None and not connection.closed:
+                self.idle[connection.proxy].append(connection)
+
+        connection.send(resp.encode_command(command), on_answer)
+        kind, wait_ms = await answer
+        timer.cancel()
         if kind == "none":
-            self.saw(link.proxy, name, kind)
-            link.transport.abort()
-        return kind, wait
+            self.record_answer(connection.proxy, attempt_id, kind)
+            connection.transport.abort()
+        return kind, wait_ms
 
     @staticmethod
-    def waited(answer: asyncio.Future) -> None:
+    def time_out(answer: asyncio.Future) -> None:
+        """End an attempt that has had no answer in time."""
         if not answer.done():
             answer.set_result(("none", 0.0))
 
     @staticmethod
-    def read(link: Link, name: str, value: Any) -> tuple[str, float]:
+    def classify_answer(connection: ClientConnection, attempt_id: str, value: Any) -> tuple[str, float]:
+        """Return the kind of an answer to the attempt with an id, and the delay of a rejection (ms)."""
         if value is None:
-            return ("crossed" if link.fresh else "closed"), 0.0
+            return ("crossed" if connection.awaiting_first_byte else "closed"), 0.0
         if isinstance(value, resp.ErrorReply):
-            word, _, rest = value.partition(b" ")
-            if word == b"BUSY":
-                return "exhausted", float(rest) if rest.isdigit() else 0.0
+            error_name, _, retry_after_ms = value.partition(b" ")
+            if error_name == b"BUSY":
+                return "exhausted", float(retry_after_ms) if retry_after_ms.isdigit() else 0.0
             return "errored", 0.0
-        if isinstance(value, bytes) and value[:19] == b"of " + name.encode():
+        if isinstance(value, bytes) and value[:19] == b"of " + attempt_id.encode():
             return "completed", 0.0
         return "another's", 0.0
 
     async def end(self) -> None:
+        """Cancel all tasks."""
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
--- a/calicofall/testbed/runner.py
+++ b/calicofall/testbed/runner.py
@@ -27,7 +27,7 @@
     DatagramRelay,
     DiscoveryEmulator,
     EmulatedConnection,
-    address,
+    proxy_address,
 )
 from calicofall.testbed.history import CanaryEvent, History, ProcessEvent, PublishedVersion
 from calicofall.testbed.network_faults import LinkFault, LinkFaults
@@ -125,11 +125,11 @@
                 file.close()
             for relay in self.relays:
                 relay.close()
-        self.history.origin_fetches = self.origin.spans
+        self.history.origin_fetches = self.origin.fetches
         self.history.cache_collapses = [
-            (at, name) for name, server in self.caches.items() for at in server.model.falls
+            (at, name) for name, server in self.caches.items() for at in server.model.collapses
         ]
-        self.history.injected_faults = self.links.spans
+        self.history.injected_faults = self.links.ended_faults
         return check_history(self.scenario, self.history)
 
     # Emulated servers
@@ -157,7 +157,7 @@
         self.discovery = DiscoveryEmulator(
             self, model, lambda: {n: server.port for n, server in self.caches.items()}
         )
-        self.discovery.agents = scenario.service.agents
+        self.discovery.has_agents = scenario.service.agents
         wall, now = time.time(), self.loop.time()
         for name, server in self.caches.items():
             if cache.cold:
@@ -192,7 +192,7 @@
             cache.fall_multiple,
             cache.fall_s,
         )
-        self.caches[name] = CacheEmulator(self, name, model, self.clients.size, cache.reports)
+        self.caches[name] = CacheEmulator(self, name, model, self.clients.value_size, cache.reports)
 
     def endpoint_entry(
         self, name: str, status: str = "SERVING", since: float | None = None
@@ -327,7 +327,7 @@
                 "fleet": scenario.name,
                 "speak": f"127.0.0.1:{self.gossip_ports[number]}",
                 "watchesPerS": scenario.service.room,
-                "peers": [f"{address(i)}:{relay_port}" for i in range(fleet.proxies)],
+                "peers": [f"{proxy_address(i)}:{relay_port}" for i in range(fleet.proxies)],
             }
         if fleet.lend_s is not None:
             start["lendS"] = fleet.lend_s
@@ -341,7 +341,7 @@
             "listen": f"{host}:{port}",
             "mgmt": self.operator_addresses[number],
             "seed": f"{scenario.seed * 1000 + number + 1:x}",
-            "discovery": f"{address(number)}:{self.discovery.port}",
+            "discovery": f"{proxy_address(number)}:{self.discovery.port}",
             "settings": self.proxy_settings(number),
             "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
         }
@@ -465,23 +465,23 @@
         elif do in ("cut", "slow", "delay", "reset", "lose"):
             self.begin_link_fault(event)
         elif do == "service_down":
-            self.discovery.fall()
+            self.discovery.go_down()
         elif do == "service_silent":
             self.discovery.silent = True
         elif do == "service_slow":
-            self.discovery.slow = event.amount
+            self.discovery.watch_delay_s = event.amount
         elif do == "service_late":
-            self.discovery.model.late = event.amount
+            self.discovery.model.event_delay_s = event.amount
         elif do == "service_room":
-            self.discovery.model.room = event.amount
+            self.discovery.model.watches_per_s = event.amount
         elif do == "move":
-            self.clients.through = self.expand(event.who)
+            self.clients.first_tenant_proxies = self.expand(event.who)
         elif do == "publish":
             version = (
                 max((publication.version for publication in self.history.published_versions), default=0) + 1
             )
             self.history.published_versions.append(PublishedVersion(self.loop.time(), version, event.zones))
-            self.discovery.publish(self.make_document(version, event.zones, event.bad))
+            self.discovery.publish_document(self.make_document(version, event.zones, event.bad))
         elif do == "try":
             members = sorted(int(name[1:]) for name in self.expand(event.who) & self.client_addresses.keys())
             self.history.canaries.append(
@@ -493,22 +493,22 @@
             version = (
                 max((publication.version for publication in self.history.published_versions), default=0) + 1
             )
-            self.discovery.hand_on(self.make_document(version, event.zones, event.bad, trial))
+            self.discovery.hand_out_canary(self.make_document(version, event.zones, event.bad, trial))
         elif do == "service_restart":
             if event.older:
                 del self.discovery.documents[-event.older :]
-            self.discovery.fall()
+            self.discovery.go_down()
             self.discovery.model.restart(int(event.amount))
             self.discovery.down = False
-            if self.discovery.agents:
-                self.discovery.speak()
+            if self.discovery.has_agents:
+                self.discovery.end_silence()
         elif do != "burst":
             self.apply_cache_event(event)
 
     def apply_process_event(self, event: Any, name: str) -> None:
         """Carry out an event on the process of one proxy."""
         if event.do == "restart":
-            self.clients.hold(self.restart_proxy(name, event.forget))
+            self.clients.start_task(self.restart_proxy(name, event.forget))
         else:
             signal_number, what = {
                 "kill": (signal.SIGKILL, "killed"),
@@ -545,24 +545,24 @@
     def notify_connections(self) -> None:
         """Notify all connections that the faults in force have changed."""
         for connection in list(self.connections):
-            connection.changed()
+            connection.on_faults_changed()
 
     def apply_cache_event(self, event: Any) -> None:
         """Carry out an event on caches."""
         now, wall = self.loop.time(), time.time()
         for name in sorted(self.expand(event.who)):
             if event.do == "drain":
-                self.discovery.change(self.endpoint_entry(name, "DRAINING"))
+                self.discovery.publish_entries(self.endpoint_entry(name, "DRAINING"))
             elif event.do == "remove":
-                self.discovery.change(self.endpoint_entry(name, "DELETED"))
+                self.discovery.publish_entries(self.endpoint_entry(name, "DELETED"))
             elif event.do == "sick":
-                self.caches[name].model.slow = max(1.0, event.amount)
+                self.caches[name].model.slowdown = max(1.0, event.amount)
             elif event.do == "sick_large":
-                self.caches[name].model.slow_large = max(1.0, event.amount)
+                self.caches[name].model.large_answer_slowdown = max(1.0, event.amount)
             else:  # add, cold: starts with an empty cache
                 self.caches[name].model.start(now)
                 self.history.cold_starts.setdefault(name, []).append(now)
-                self.discovery.change(self.endpoint_entry(name, since=wall))
+                self.discovery.publish_entries(self.endpoint_entry(name, since=wall))
 
     def end_event(self, event: Any) -> None:
         """End an event that lasts."""
@@ -572,23 +572,23 @@
                 self.signal_proxy(name, signal.SIGCONT, "woken")
         elif do in ("kill", "term"):
             for name in sorted(self.expand(event.who) & self.client_addresses.keys()):
-                self.clients.hold(self.restart_proxy(name, event.forget))
+                self.clients.start_task(self.restart_proxy(name, event.forget))
         elif do == "service_down":
             self.discovery.down = False
-            if self.discovery.agents:
-                self.discovery.speak()
+            if self.discovery.has_agents:
+                self.discovery.end_silence()
         elif do == "service_slow":
-            self.discovery.slow = 0.0
+            self.discovery.watch_delay_s = 0.0
         elif do == "service_silent":
-            self.discovery.speak()
+            self.discovery.end_silence()
         elif do == "service_late":
-            self.discovery.model.late = 0.0
+            self.discovery.model.event_delay_s = 0.0
         elif do == "service_room":
-            self.discovery.model.room = self.scenario.service.room
+            self.discovery.model.watches_per_s = self.scenario.service.room
         elif do in ("sick", "sick_large"):
             for name in self.expand(event.who):
                 model = self.caches[name].model
-                model.slow = model.slow_large = 1.0
+                model.slowdown = model.large_answer_slowdown = 1.0
 
     # Measurements
 
@@ -622,9 +622,9 @@
         proxies_with_list = len({event.proxy for event in self.history.list_events})
         watches_requested = sum(call.what == "asked" for call in self.history.discovery_calls)
         self.report_progress(
-            f"{self.loop.time() - self.started_at:6.1f} s  up {len(self.clients.up)}, "
+            f"{self.loop.time() - self.started_at:6.1f} s  up {len(self.clients.available_proxies)}, "
             f"lists {proxies_with_list}, asked {watches_requested}, "
-            f"RPCs {self.clients.given}, completed {self.clients.done}"
+            f"RPCs {self.clients.begun_count}, completed {self.clients.completed_count}"
         )
 
 
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -30,7 +30,7 @@
 from calicofall.routing.policy import RoutingPolicy
 from calicofall.routing.router import Router
 from calicofall.testbed import scenario
-from calicofall.testbed.clients import Draw
+from calicofall.testbed.clients import TrafficPlan
 from calicofall.testbed.routing_simulation import RoutingSimulation
 from calicofall.testbed.runner import run_scenario
 from calicofall.testbed.server_models import CacheModel, OriginModel
@@ -125,7 +125,7 @@
     simulation.at(4000.0, lambda: setattr(simulation, "per_s", 900.0))
     simulation.at(6000.0, lambda: setattr(simulation, "per_s", 200.0))
     simulation.at(3000.0, lambda: setattr(caches[6], "slow", 12.0))
-    simulation.at(5000.0, simulation.renew, random_generator.randrange(4))
+    simulation.at(5000.0, simulation.restart_proxy, random_generator.randrange(4))
     simulation.run(seconds * 1000.0)
     for router in RecordingInMemory.instances:
         router.write_segments(simulation.now)
@@ -834,7 +834,7 @@
     replayed_scenario = scenario.parse_scenario(
         scenario_settings | {"traffic": {"record": str(traffic)}}, "again"
     )
-    drawn_requests = Draw(replayed_scenario).rpcs
+    drawn_requests = TrafficPlan(replayed_scenario).requests
     assert len(drawn_requests) > 20
     assert {method for _, method, *_ in drawn_requests} >= {"read", "save"}
     assert [key for *_, key, _ in drawn_requests] == [row[2] for row in json.loads(traffic.read_bytes())][
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -22,7 +22,7 @@
 from calicofall.cli.main import main
 from calicofall.testbed import randomized_scenarios, report, scenario
 from calicofall.testbed.checker import Verdict, check_history, max_concurrent, max_count_in_window
-from calicofall.testbed.emulated_servers import address, number_of
+from calicofall.testbed.emulated_servers import proxy_address, proxy_number
 from calicofall.testbed.history import (
     ClientAnswer,
     ClientAttempt,
@@ -169,10 +169,12 @@
 def test_the_discovery_model_begins_no_more_watches_than_its_capacity() -> None:
     model, random_generator = DiscoveryModel(10.0, 1000), Random(1)
     times = sorted(random_generator.uniform(0.0, 10.0) for _ in range(600))
-    begins = [at for at in times if model.ask(at) is not None]
+    begins = [at for at in times if model.request_watch(at) is not None]
     assert 95 <= len(begins) <= 106 and max_count_in_window(begins)[0] <= 15
     queueing = DiscoveryModel(10.0, 1000, queue=20)
-    assert [queueing.ask(0.0) for _ in range(40)].count(None) == 15 and queueing.ask(0.0) is None
+    assert [queueing.request_watch(0.0) for _ in range(40)].count(None) == 15 and queueing.request_watch(
+        0.0
+    ) is None
 
 
 def test_the_discovery_model_sends_changes_and_restarts_its_versions() -> None:
@@ -206,14 +208,14 @@
     model = cache_model()
     assert model.handshake(0.0) == 0.01 and model.handshake(0.0) and model.handshake(0.0) is None
     first = model.command(1.0, "a", False)
-    assert (first.note, round(first.at, 3)) == ("miss", 1.6)
+    assert (first.cache_status, round(first.at, 3)) == ("miss", 1.6)
     assert model.command(1.0, "a", False) == (first.at, True, "pending")
     assert model.command(2.0, "a", False) == (2.1, True, "hit")
     for key in "bc":
         model.command(3.0, key, False)
-    assert model.command(9.0, "a", False).note == "miss"  # evicted by two others
+    assert model.command(9.0, "a", False).cache_status == "miss"  # evicted by two others
     assert model.report(9.01) == b"pending=1,served_ps=20"
-    answers = [model.command(20.0, "c", False).ran for _ in range(6)]
+    answers = [model.command(20.0, "c", False).executed for _ in range(6)]
     assert answers == [True] * 4 + [False] * 2
 
 
@@ -222,7 +224,7 @@
     assert [origin.fetch(at) for at in (100.0, 1.0, 1.1)] == [100.5, 1.5, 1.6]
     assert [origin.fetch(at) for at in (1.2, 1.2, 1.2)] == [2.0, 2.1, 2.5]  # they wait: two at a time
     assert origin.fetch(99.8) == pytest.approx(100.3) and origin.fetch(100.1) == pytest.approx(100.8)
-    assert origin.spans[0] == (100.0, 100.5) and len(origin.spans) == 8
+    assert origin.fetches[0] == (100.0, 100.5) and len(origin.fetches) == 8
 
 
 def test_a_cold_cache_warms_up_and_collapses_under_overload() -> None:
@@ -231,22 +233,22 @@
     assert model.capacity(0.0) == 100.0 and model.capacity(20.0) == 200.0
     for number in range(300):
         model.command(number / 300.0, "a", False)
-    assert model.falls and not model.command(1.1, "a", False).ran
+    assert model.collapses and not model.command(1.1, "a", False).executed
 
 
 def test_link_faults_apply_by_pair_and_direction_and_end() -> None:
     links = LinkFaults(1)
     one_way = LinkFault(frozenset({"p1"}), frozenset({"c1", "p2"}), {"cut_to": True})
     links.begin(1.0, one_way)
-    assert links.of("p1", "c1").cut_to and not links.of("p1", "c1").cut_back
-    assert links.of("p2", "p1").cut_back and not links.of("p2", "c1").cut_to
+    assert links.state_of("p1", "c1").cut_to and not links.state_of("p1", "c1").cut_back
+    assert links.state_of("p2", "p1").cut_back and not links.state_of("p2", "c1").cut_to
     links.end(2.0, one_way)
-    assert not links.of("p1", "c1").cut_to and links.spans == [(1.0, 2.0, "cut_to")]
+    assert not links.state_of("p1", "c1").cut_to and links.ended_faults == [(1.0, 2.0, "cut_to")]
 
 
 def test_each_proxy_connects_to_addresses_of_its_own() -> None:
-    assert all(number_of(address(number)) == number for number in range(1000))
-    assert number_of("127.0.0.1") is None and number_of("10.0.0.1") is None
+    assert all(proxy_number(proxy_address(number)) == number for number in range(1000))
+    assert proxy_number("127.0.0.1") is None and proxy_number("10.0.0.1") is None
 
 
 # The checker, on histories that are made here
@@ -436,12 +438,12 @@
         runner.create_servers()
         server = runner.caches["c0"]
         await server.open()
-        server.sizes = lambda key: 8 << 20
+        server.value_size = lambda key: 8 << 20
         peer = socket.socket()
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        peer.bind((address(1), 0))
+        peer.bind((proxy_address(1), 0))
         peer.setblocking(False)
-        await runner.loop.sock_connect(peer, (address(1), server.port))
+        await runner.loop.sock_connect(peer, (proxy_address(1), server.port))
         for name in (b"1", b"2"):
             command = [b"C.GET", b"k", name, b"c=read,t=shop,d=900"]
             await runner.loop.sock_sendall(
@@ -454,7 +456,7 @@
         ):
             await asyncio.sleep(0.01)
         connection = next(iter(runner.connections))
-        connection.outs[7] = None  # one more, queued behind the data that is not written yet
+        connection.replies_by_send[7] = None  # one more, queued behind the data that is not written yet
         if closes:
             peer.shutdown(socket.SHUT_RDWR)
         await asyncio.sleep(0.1)
@@ -729,7 +731,7 @@
     def operate(runner: ScenarioRunner) -> None:
         time.sleep(7.0)
         cli, management_addresses = CliRunner(), runner.operator_addresses[:7]
-        source = f"{address(0)}:{runner.discovery.port}"
+        source = f"{proxy_address(0)}:{runner.discovery.port}"
         for name, bad in (("bad", True), ("good", False)):
             file = tmp_path / f"{name}.json"
             file.write_text(json.dumps(runner.make_document(2, "a", bad)))
