--- a/calicofall/proxy/clients.py
+++ b/calicofall/proxy/clients.py
@@ -113,7 +113,7 @@
             )
             if oldest is None:
                 return
-            self.reject_partial_command(oldest, "incomplete commands take too much memory")
+            self.reject_partial_command(oldest, "too much has come in halves")
         self._resume_waiting()
 
     def reject_partial_command(self, client: ClientConnection, reason: str) -> None:
@@ -135,7 +135,7 @@
         overdue_before = now - self.command_timeout_s
         for client in [client for client, since in self.partial_commands.items() if since < overdue_before]:
             if not self._may_go_on(client, now, overdue_before):
-                self.reject_partial_command(client, "the command is not complete in time")
+                self.reject_partial_command(client, "a command that does not end")
 
     def close_excess_idle(self) -> None:
         """Closes idle connections while they use so much of the budget that active clients would lack it."""
