--- a/calicofall/fleet/outlier_consensus.py
+++ b/calicofall/fleet/outlier_consensus.py
@@ -255,11 +255,11 @@
 class OutlierConsensus:
     """Evidence, queries and decisions of one proxy.
 
-    Endpoints are numbers, points in time are in seconds. `own_id` is this proxy's number.
+    Endpoints are numbers, points in time are in seconds. `proxy_number` is this proxy's number.
     """
 
-    def __init__(self, own_id: int, incarnation: int, zone: int, random_generator: Random) -> None:
-        self.own_id = own_id
+    def __init__(self, proxy_number: int, incarnation: int, zone: int, random_generator: Random) -> None:
+        self.proxy_number = proxy_number
         self.incarnation = incarnation
         self.zone = zone
         self.random_generator = random_generator
@@ -332,7 +332,7 @@
 
     def on_message(self, now: float, message: EvidenceMessage) -> EvidenceMessage | None:
         """Handles a message; returns the answer to its sender, if any."""
-        if message.sender == self.own_id:
+        if message.sender == self.proxy_number:
             return None
         if message.is_query:
             if message.endpoint in self.listed:
@@ -363,7 +363,7 @@
         requests, mean_requests = self.recent_load(now, endpoint)
         return EvidenceMessage(
             is_query,
-            self.own_id,
+            self.proxy_number,
             self.incarnation,
             correlation_id,
             endpoint,
@@ -449,7 +449,7 @@
         votes = self._peer_votes(query)
         current = self._current_votes(query, votes)
         if sum(own_results) >= MIN_REQUESTS_TO_VOTE:
-            votes[self.own_id] = Vote(self.zone, own_results[1] > own_results[0])
+            votes[self.proxy_number] = Vote(self.zone, own_results[1] > own_results[0])
         health = self._health(now, query, votes)
         # With enough evidence of its own, a proxy decides for healthy only if that evidence agrees.
         trusts_peers = sum(own_results) < SUFFICIENT_OWN_REQUESTS or own_results[0] > own_results[1]
@@ -505,7 +505,7 @@
         Each voter counts by how many its requests there exceed OVERLOAD_FACTOR times those at the mean
         endpoint; an overload shows in a positive sum over the voters.
         """
-        replies = [query.replies[voter] for voter in votes if voter != self.own_id]
+        replies = [query.replies[voter] for voter in votes if voter != self.proxy_number]
         own_requests, own_mean = self.recent_load(now, query.endpoint)
         excess = [own_requests - OVERLOAD_FACTOR * own_mean]
         excess += [
--- a/calicofall/fleet/quota_leases.py
+++ b/calicofall/fleet/quota_leases.py
@@ -122,9 +122,9 @@
 class QuotaLeases:
     """One limit at one proxy.
 
-    `limit_id` identifies the limit, `own_id` is this proxy's number, `lease_s` is the duration of a lease and
-    `drift` the largest relative difference between the rates of two clocks. Points in time are in seconds of
-    the proxy's own clock.
+    `limit_id` identifies the limit, `proxy_number` is this proxy's number, `lease_s` is the duration of a
+    lease and `drift` the largest relative difference between the rates of two clocks. Points in time are in
+    seconds of the proxy's own clock.
     """
 
     total = UNITS
@@ -138,19 +138,19 @@
     def __init__(  # noqa: PLR0913 -- proxy/ and startup/ pass these by position
         self,
         limit_id: int,
-        own_id: int,
+        proxy_number: int,
         incarnation: int,
         proxies: int,
         now: float,
         lease_s: float,
         drift: float,
-        rng: Random,
+        random_generator: Random,
     ) -> None:
         self.limit_id = limit_id
-        self.own_id = own_id
+        self.proxy_number = proxy_number
         self.incarnation = incarnation
         self.lease_s = lease_s
-        self.rng = rng
+        self.random_generator = random_generator
         self.own_units = self.total // proxies
         self.grant_s = grant_duration(lease_s, drift)
         self.started_at = now
@@ -161,7 +161,7 @@
         self.pending_requests: dict[int, PendingRequest] = {}  # by lease identifier
         # By owner, when it last declined a request, or a request to it was given up.
         self.declined_at: dict[int, float] = {}
-        self.last_lease_id = rng.getrandbits(40)
+        self.last_lease_id = random_generator.getrandbits(40)
         self.last_request_number = 0
         self.demand_units = 0  # units that would be used here without a limit
         self.next_round_at = now
@@ -226,7 +226,7 @@
         slot = self._choose_slot(message) if units else 0
         return QuotaLeaseMessage(
             False,
-            self.own_id,
+            self.proxy_number,
             self.incarnation,
             message.correlation_id,
             self.limit_id,
@@ -302,7 +302,7 @@
         """
         if now < self.next_round_at:
             return [], self.next_round_at
-        self.next_round_at = now + ROUND_INTERVAL_S * self.rng.uniform(0.9, 1.0)
+        self.next_round_at = now + ROUND_INTERVAL_S * self.random_generator.uniform(0.9, 1.0)
         usable = self.usable_units(now)
         earliest = now - DECLINED_BACKOFF_S
         self.declined_at = {owner: at for owner, at in self.declined_at.items() if at > earliest}
@@ -355,7 +355,7 @@
         if missing < self.min_lease_units or count <= 0:
             return []
         messages = []
-        for owner in self.rng.sample(owners, count):
+        for owner in self.random_generator.sample(owners, count):
             if missing < self.min_lease_units:
                 break
             units = min(missing, self.max_lease_units)
@@ -374,7 +374,7 @@
             for peer in reachable
             if leases[peer] < self.max_leases_per_owner
             and peer not in self.declined_at
-            and peer != self.own_id
+            and peer != self.proxy_number
         ]
 
     def _request(self, now: float, lease_id: int, owner: int, units: int) -> QuotaLeaseMessage:
@@ -385,7 +385,7 @@
         )
         return QuotaLeaseMessage(
             True,
-            self.own_id,
+            self.proxy_number,
             self.incarnation,
             lease_id,
             self.limit_id,
--- a/calicofall/fleet/rate_slots.py
+++ b/calicofall/fleet/rate_slots.py
@@ -74,7 +74,7 @@
         free = set(range(1, SLOTS_PER_PROXY)) - set(self.granted_slots.values())
         key = LeaseKey(message.sender, message.incarnation, message.correlation_id)
         slot = self.granted_slots.setdefault(key, min(free, default=0))
-        self.last_usable_slots.discard((self.own_id, slot))
+        self.last_usable_slots.discard((self.proxy_number, slot))
         return slot
 
     def _on_lease_held(self, message: QuotaLeaseMessage, is_new: bool) -> None:
@@ -100,7 +100,7 @@
             if self._is_new(now)
             else {self.granted_slots[key] for key in self.lent_leases}
         )
-        slots = {(self.own_id, slot) for slot in range(SLOTS_PER_PROXY) if slot not in lent_slots}
+        slots = {(self.proxy_number, slot) for slot in range(SLOTS_PER_PROXY) if slot not in lent_slots}
         slots |= {
             (lease.owner, self.borrowed_slots[lease_id]) for lease_id, lease in self.borrowed_leases.items()
         }
@@ -164,7 +164,9 @@
 
     def __init__(self, rate_slots: RateSlots, slots_per_s: float, now: float, wall_clock_s: float) -> None:
         self.rate_slots = rate_slots
-        self.time_slots = TimeSlots(rate_slots.own_id, rate_slots.proxies, slots_per_s, now, wall_clock_s)
+        self.time_slots = TimeSlots(
+            rate_slots.proxy_number, rate_slots.proxies, slots_per_s, now, wall_clock_s
+        )
         self.last_used_at = -inf
         self.returned_slots: list[float] = []  # times of slots that were taken and not needed, ascending
         self.demand = SlotDemand()
--- a/tests/test_rate_slots.py
+++ b/tests/test_rate_slots.py
@@ -33,7 +33,7 @@
     def usable_slots(self, now: float) -> list:
         self.usable_units(now)
         return [
-            *((self.own_id, slot) for slot in range(SLOTS_PER_PROXY)),
+            *((self.proxy_number, slot) for slot in range(SLOTS_PER_PROXY)),
             *(
                 (owner, self.borrowed_slots[lease_id])
                 for lease_id, (owner, _, _) in self.borrowed_leases.items()
