--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -1,4 +1,4 @@
-"""Loss breakdown: read from logs of several kinds; the causes sum up to what clients lost."""
+"""Loss breakdown: read from logs of several kinds; the causes sum up to the requests that clients lost."""
 
 import asyncio
 from pathlib import Path
@@ -146,7 +146,7 @@
             client.feed(encode_request("read", key=7))
             upstream = harness.connect_upstream()
             upstream.feed(encode_reply())
-            harness.proxy.router.policy.fleet_limit.unused_capacity = -1e9  # no room
+            harness.proxy.router.policy.fleet_limit.unused_capacity = -1e9  # the next request is rejected
             client.feed(encode_request("order", key=8, value=b"x"))
             harness.loop.advance(0.6)
             lines = [record for record in caplog.records if record.message == "rpc"]
@@ -159,7 +159,7 @@
 
 @pytest.mark.xdist_group(PROCESS_GROUPS[0])
 def test_loss_breakdown_of_processes_is_shown_and_stored(tmp_path: Path) -> None:
-    """Four processes, one slow cache node and one killed proxy: the causes sum up to what clients lost."""
+    """Four processes, one slow cache node and one killed proxy: the causes sum up to the lost requests."""
     faulty_scenario = scenario.parse_scenario(
         {
             "name": "accounted",
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -56,12 +56,12 @@
 
 
 def test_the_end_of_an_incarnation_is_recorded_before_the_next_begins(tmp_path: Path) -> None:
-    """A late notice of the exit was recorded after the next start: the restart was taken for a crash."""
+    """A late notice of the exit was recorded after the next start: the restart was classified as a crash."""
 
     async def restart() -> list[str]:
         runner = ScenarioRunner(small_scenario(), tmp_path)
         runner.loop = loop = asyncio.get_running_loop()
-        # The notice of the exit comes 0.3 s late.
+        # The notice of the exit arrives 0.3 s late.
         add_reader, loop.add_reader = (
             loop.add_reader,
             lambda fd, *callback: loop.call_later(0.3, lambda: add_reader(fd, *callback)),
@@ -430,7 +430,7 @@
 def test_a_request_is_in_flight_until_its_connection_closes_and_no_longer(
     closes: bool, tmp_path: Path
 ) -> None:
-    """An emulated cache with unwritten data noticed that the proxy had closed only when a write failed."""
+    """An emulated cache with unwritten data detected the proxy's close only when a write failed."""
 
     async def run() -> dict[int, float]:
         runner = ScenarioRunner(small_scenario(fleet={"proxies": 4, "caches": 3, "speak": False}), tmp_path)
@@ -471,9 +471,9 @@
     """Answers while other proxies were starting were judged by the tolerance for the time after that."""
     history = valid_history()
     history.client_answers[0] = ClientAnswer(102.2, "p0", "1", "completed")  # 0.2 s after its deadline
-    history.core_waits = [(100.9, 0.4)]  # it ended before the request
+    history.core_waits = [(100.9, 0.4)]  # the wait ended before the request
     assert broken_rules(history) == {"one answer"}
-    history.core_waits = [(101.6, 0.4)]  # in the second of the first request
+    history.core_waits = [(101.6, 0.4)]  # in a second that overlaps the first request
     assert not broken_rules(history)
 
 
@@ -493,7 +493,7 @@
 ) -> tuple[Verdict, History]:
     """Run a scenario until it is not void, three times at most; return the verdict and the history.
 
-    A run is void where the machine was too busy. `operate` is called in a thread beside each run.
+    A run is void if the machine was too busy. `operate` is called in a thread beside each run.
     """
     for number in range(3):
         runner = ScenarioRunner(plan, folder / f"play{number}", commands=commands)
@@ -642,7 +642,7 @@
         {"at": 6.5, "do": "publish", "zones": "ab"},
         {"at": 8.0, "until": 15.0, "do": "cut", "who": "p0,p1", "to": "proxies,list"},
         {"at": 8.1, "until": 14.0, "do": "stop", "who": "p3"},
-        {"at": 8.2, "do": "publish", "zones": "b"},  # while the leases of the proxies that are cut off last
+        {"at": 8.2, "do": "publish", "zones": "b"},  # before the leases of the cut-off proxies expire
         {"at": 11.0, "do": "restart", "who": "p5"},
         {"at": 12.0, "until": 12.6, "do": "service_down"},
         {"at": 12.5, "do": "service_restart", "older": 2},
@@ -692,8 +692,9 @@
 
 @FIRST_GROUP
 def test_a_failing_canary_is_halted_by_its_members_or_is_found(tmp_path: Path) -> None:
-    """Of four proxies that try it one does not stop, and a fifth tries it though it is not a member."""
-    # A canary halts after MIN_REQUESTS orders of about 7 a second, and one evaluation, with room for chance.
+    """Of four members of a canary one does not halt it, and a fifth proxy, not a member, joins it."""
+    # A canary halts after MIN_REQUESTS orders, at about 7 a second, and one evaluation; the limit of 6 s
+    # leaves a margin for random variation.
     plan = CANARY_SCENARIO | {
         "must": {"halted_s": 6.0},
         "event": [{"at": 6.0, "do": "try", "zones": "ab", "who": "p1,p3,p4,p6", "span": 8.0, "bad": True}],
@@ -714,8 +715,8 @@
 @FIRST_GROUP
 def test_operators_publish_by_command_through_a_canary_and_see_the_membership(tmp_path: Path) -> None:
     """One proxy is killed and one restarted; a failing version is halted, and a sound one published."""
-    # A method needs clearly more or clearly fewer requests than a canary measures: with 15 to 20 saves before
-    # the canary it was chance whether a sound version counted as unmeasured.
+    # A method needs clearly more or clearly fewer requests than MIN_REQUESTS, from which a canary measures:
+    # with 15 to 20 saves before the canary, a sound version was unmeasured in some runs and not in others.
     traffic = {"per_s": 160.0, "orders": 0.5, "writes": 0.02}
     plan = scenario.parse_scenario(
         CANARY_SCENARIO
@@ -865,7 +866,11 @@
 def test_proxies_refuse_clients_until_a_slow_or_stopped_discovery_service_answers(
     agents: bool, tmp_path: Path
 ) -> None:
-    """With an agent beside each proxy it is silent; without, connections are cut; watches begin 1 s late."""
+    """The service is down for 2 s, and watches begin 1 s late.
+
+    While the service is down, connections to it are cut; agents beside the proxies keep theirs open but are
+    silent.
+    """
     plan = scenario.parse_scenario(
         {
             "name": "down",
