--- a/calicofall/cli/replay.py
+++ b/calicofall/cli/replay.py
@@ -17,34 +17,40 @@
 # Settings that belong to the recorded proxy and are kept when other settings are used.
 OWN_SETTINGS = ("proxies", "me", "zone", "bears")
 
+# Exit code of REPLAY_TO_OTHER_ROUTER if this version's replayer cannot be imported with the other version's
+# router. It differs from the exit codes of a replay.
+IMPORT_FAILED = 10
 # Replays records on the router of another version, with this version's replayer, as this version's replayer
 # can read the records. The packages `recording` and `cli` are this version's, all others are those of the
 # version in PYTHONPATH.
-REPLAY_TO_OTHER_ROUTER = """
+REPLAY_TO_OTHER_ROUTER = f"""
 import importlib.util, sys
 import calicofall
 for name in ("recording", "cli"):
-    folder = f"{sys.argv[1]}/{name}"
-    spec = importlib.util.spec_from_file_location(f"calicofall.{name}", folder + "/__init__.py",
+    folder = f"{{sys.argv[1]}}/{{name}}"
+    spec = importlib.util.spec_from_file_location(f"calicofall.{{name}}", folder + "/__init__.py",
                                                   submodule_search_locations=[folder])
     module = importlib.util.module_from_spec(spec)
-    sys.modules[f"calicofall.{name}"] = module
+    sys.modules[f"calicofall.{{name}}"] = module
     spec.loader.exec_module(module)
 try:
     from calicofall.cli.replay import replay_here
-except ImportError as missing:
-    sys.exit(f"Error: that version is too old: {missing}")
+except ImportError:
+    sys.exit({IMPORT_FAILED})
 replay_here(sys.argv[2:])
 """
-# Versions whose router is in `facade.py` have different names throughout, so they use their own replayer.
+# Replays records with another version's own replayer, a function of one of its modules.
 REPLAY_WITH_OWN_REPLAYER = """
 import sys
 try:
-    from calicofall.recording.__main__ import trial
+    from {module} import {function} as replay_records
 except ImportError as missing:
-    sys.exit(f"Error: that version is too old: {missing}")
-trial(sys.argv[2:])
+    sys.exit(f"Error: that version is too old: {{missing}}")
+replay_records(sys.argv[2:])
 """
+OWN_REPLAYER = REPLAY_WITH_OWN_REPLAYER.format(module="calicofall.cli.replay", function="replay_here")
+# Versions whose router is in `facade.py` have other names throughout, so their own replayer is always used.
+FACADE_REPLAYER = REPLAY_WITH_OWN_REPLAYER.format(module="calicofall.recording.__main__", function="trial")
 
 
 @click.command()
@@ -176,6 +182,9 @@
 def replay_to_version(folder: Path, names: Iterable[str]) -> int:
     """Replays records with another version of the program, in a separate process.
 
+    If this version's replayer cannot be imported with that version's router, that version's own replayer runs
+    in a new process, because the first process has already imported modules of this version.
+
     Args:
         folder: A checkout of that version.
         names: Files and folders of records.
@@ -188,7 +197,7 @@
     """
     package = folder / "calicofall"
     if (package / "facade.py").exists():
-        script = REPLAY_WITH_OWN_REPLAYER
+        script = FACADE_REPLAYER
     elif (package / "routing").is_dir():
         script = REPLAY_TO_OTHER_ROUTER
     else:
@@ -196,6 +205,14 @@
             f"{folder}: expected a checkout of calicofall, found no package `calicofall` with a router"
         )
     paths = [str(segment.path.resolve()) for segment in open_segments(names)]
+    code = run_script(script, folder, paths)
+    if script == REPLAY_TO_OTHER_ROUTER and code == IMPORT_FAILED:
+        code = run_script(OWN_REPLAYER, folder, paths)
+    return code
+
+
+def run_script(script: str, folder: Path, paths: list[str]) -> int:
+    """Runs a replay script in a process that imports another version, and returns its exit code."""
     this_package = str(Path(__file__).parent.parent.resolve())
     environment = {"PYTHONPATH": str(folder.resolve()), "PATH": ""}
     command = [sys.executable, "-c", script, this_package, *paths]
--- a/calicofall/cli/testbed.py
+++ b/calicofall/cli/testbed.py
@@ -119,14 +119,14 @@
             scenario,
             folder,
             program and str(Path(program).resolve()),
-            told=lambda line: None if quiet else click.echo(line, err=True),
+            progress=lambda line: None if quiet else click.echo(line, err=True),
         )
     except KeyboardInterrupt:
-        raise TestbedCommandError("interrupted: all started processes have ended") from None
-    testbed.report.keep(folder, scenario, verdict, history)
-    testbed.report.table(testbed.report.load([str(folder)]))
-    click.echo(f"{scenario.name}: {verdict.word}; {folder}")
-    if verdict.void:
+        raise TestbedCommandError("stopped: all started processes have ended") from None
+    testbed.report.write_result(folder, scenario, verdict, history)
+    testbed.report.print_results(testbed.report.load_results([str(folder)]))
+    click.echo(f"{scenario.name}: {verdict.outcome}; {folder}")
+    if verdict.void_reason:
         sys.exit(EXIT_VOID)
     sys.exit(EXIT_PASSED if verdict.passed else EXIT_FAILED)
 
@@ -143,7 +143,7 @@
             data["seed"] = seed
         data["fleet"] |= fleet
         return scenarios.parse_scenario(data, file)
-    except scenarios.InvalidScenario as error:
+    except scenarios.InvalidScenarioError as error:
         raise TestbedCommandError(str(error)) from error
 
 
@@ -160,7 +160,7 @@
         for number in range(seed, seed + count):
             randomized.run(number, versions)
     except KeyboardInterrupt:
-        raise TestbedCommandError("interrupted: all started processes have ended") from None
+        raise TestbedCommandError("stopped: all started processes have ended") from None
     if versions:
         click.echo(
             f"{count - randomized.void} drills, {randomized.void} void, {randomized.orders} sends judged: "
@@ -209,13 +209,13 @@
             scenario = scenario.model_copy(update={"fleet": fleet})
         folder = self.folder / scenario.name
         verdict, history = self.testbed.run_scenario(scenario, folder)
-        self.testbed.report.keep(folder, scenario, verdict, history)
+        self.testbed.report.write_result(folder, scenario, verdict, history)
         rules = {finding.rule for finding in verdict.findings}
-        click.echo(f"{scenario.name}: {verdict.word} {verdict.void}{', '.join(sorted(rules))}")
-        self.void += bool(verdict.void)
+        click.echo(f"{scenario.name}: {verdict.outcome} {verdict.void_reason}{', '.join(sorted(rules))}")
+        self.void += bool(verdict.void_reason)
         if self.record:
             self.replayed += replay_records(folder)
-        if versions and not verdict.void:
+        if versions and not verdict.void_reason:
             self.longest_s = max(self.longest_s, verdict.figures["forbidden_longest_s"])
             self.orders += verdict.figures["orders_judged"]
             self.bound_s = scenario.must.settled_s or 0.0
@@ -306,10 +306,10 @@
     """Show results side by side, from files or folders."""
     report = load_testbed().report
     try:
-        loaded = report.load(list(results))
+        loaded = report.load_results(list(results))
     except report.InvalidResultError as error:
         raise TestbedCommandError(str(error)) from error
-    report.table(loaded)
+    report.print_results(loaded)
     if chart:
-        report.chart(loaded, chart)
+        report.write_chart(loaded, chart)
         click.echo(chart)
--- a/calicofall/testbed/report.py
+++ b/calicofall/testbed/report.py
@@ -54,16 +54,20 @@
     """A file that holds no result of a scenario; says which file and why."""
 
 
-def keep(folder: Path, scenario: Scenario, verdict: Verdict, history: History) -> Path:
-    """Write result.json: verdict, figures, counts by second, and the loss breakdown where it is requested."""
+def write_result(folder: Path, scenario: Scenario, verdict: Verdict, history: History) -> Path:
+    """Write result.json: verdict, figures, counts by second, and the loss breakdown where it is requested.
+
+    Returns:
+        The path of the file.
+    """
     path = folder / "result.json"
     breakdown = {"account": loss_breakdown(scenario, history, folder)} if scenario.fleet.accounts else {}
     result = breakdown | {
         "drill": scenario.name,
         "seed": scenario.seed,
         "proxies": scenario.fleet.proxies,
-        "verdict": verdict.word,
-        "void": verdict.void,
+        "verdict": verdict.outcome,
+        "void": verdict.void_reason,
         "findings": [finding._asdict() for finding in verdict.findings],
         "figures": verdict.figures,
         "by_second": by_second(history),
@@ -74,10 +78,10 @@
 
 def by_second(history: History) -> dict[str, list[int]]:
     """Return counts of the events of each second of a run, by kind."""
-    seconds = int(history.ended - history.began) + 1
+    seconds = int(history.ended_at - history.started_at) + 1
     counts = {name: [0] * seconds for name in COUNTED_BY_SECOND}
     for name, at in _counted_events(history):
-        second = int(at - history.began)
+        second = int(at - history.started_at)
         if 0 <= second < seconds:
             counts[name][second] += 1
     return counts
@@ -85,23 +89,23 @@
 
 def _counted_events(history: History) -> Iterator[tuple[str, float]]:
     """Yield the kind and time of each event that is counted by second."""
-    for call in history.asked:
+    for call in history.discovery_calls:
         if call.what in COUNTED_BY_SECOND:
             yield call.what, call.at
     listed: set[str] = set()
-    for event in history.told:
+    for event in history.list_events:
         if event.proxy not in listed:
             listed.add(event.proxy)
             yield "lists", event.at
-    for at, _ in history.pongs:
+    for at, _ in history.proxy_ready_events:
         yield "doors", at
-    for request in history.intents:
+    for request in history.client_requests:
         yield "wanted", request.at
-        if request.done is not None:
-            yield "completed", request.done
+        if request.completed_at is not None:
+            yield "completed", request.completed_at
 
 
-def load(paths: list[str]) -> list[Result]:
+def load_results(paths: list[str]) -> list[Result]:
     """Return results by file or folder.
 
     Raises:
@@ -117,11 +121,11 @@
     except (OSError, ValueError) as error:
         raise InvalidResultError(f"{file}: {getattr(error, 'strerror', None) or error}") from error
     if not isinstance(result, dict) or "figures" not in result:
-        raise InvalidResultError(f"{file}: no result of a drill")
+        raise InvalidResultError(f'{file}: not the result of a scenario: it has no "figures"')
     return result
 
 
-def table(results: list[Result]) -> None:
+def print_results(results: list[Result]) -> None:
     """Print results side by side, then loss breakdowns and findings."""
     from rich.console import Console
 
@@ -137,7 +141,7 @@
 def _print_figures(console: "Console", results: list[Result]) -> None:
     from rich.table import Table
 
-    figures = Table(title="drills: stand-ins on loopback")
+    figures = Table(title="scenarios: emulated servers on loopback")
     figures.add_column("")
     for result in results:
         head = f"{result['drill']}\n{result['proxies']} proxies\nseed {result['seed']}"
@@ -183,8 +187,8 @@
         console.print(f"{scenario_name}: {len(findings) - MAX_FINDINGS_SHOWN} more")
 
 
-def chart(results: list[Result], file: str) -> None:
-    """Write a picture of what was seen by second."""
+def write_chart(results: list[Result], file: str) -> None:
+    """Write a chart of the events of each second, a plot for each result."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -194,7 +198,9 @@
     for (plot,), result in zip(axes, results, strict=True):
         for name, counts in result["by_second"].items():
             plot.plot(range(len(counts)), counts, label=name)
-        plot.set_title(f"{result['drill']}, {result['proxies']} proxies: {result['verdict']} (stand-ins)")
+        plot.set_title(
+            f"{result['drill']}, {result['proxies']} proxies: {result['verdict']} (emulated servers)"
+        )
         plot.set_xlabel("s")
         plot.set_ylabel("a second")
         plot.legend(fontsize="small")
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -38,7 +38,7 @@
         self.enforcement, self.sent_messages = self.proxy.quotas, []
         if self.enforcement is not None:
             self.enforcement.send = lambda peer, message: self.sent_messages.append((peer, message))
-            self.enforcement.live_members = lambda: [1, 2, 3]
+            self.enforcement.alive_members = lambda: [1, 2, 3]
 
     def node_file(self, *values: int, **settings: object) -> dict:
         return ProxyHarness.node_file(*values, **settings) | {
@@ -177,7 +177,7 @@
     while simulation.now < started_at + duration_s:
         simulation.run(simulation.now + 0.005)
         active = few if simulation.now < started_at + duration_s / 2 else tuple((me + 3) % 8 for me in few)
-        simulation.wants = [5 * UNITS // len(active) if me in active else 0 for me in range(8)]
+        simulation.demands = [5 * UNITS // len(active) if me in active else 0 for me in range(8)]
         if simulation.now < started_at:
             continue
         for _ in range(2):  # 400 requests per second
@@ -190,7 +190,7 @@
             )
             admitted += policies[me].quotas.admit(simulation.now * 1000.0, "acme")
     assert admitted <= quota * (duration_s + 1.0) + 8 * BURST_REQUESTS
-    assert admitted >= 0.7 * quota * duration_s and simulation.over == 0.0
+    assert admitted >= 0.7 * quota * duration_s and simulation.peak_excess_fraction == 0.0
 
 
 def test_messages_with_random_fields_raise_no_error_and_memory_stays_bounded() -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -82,9 +82,11 @@
     ) -> MembershipProbe:
         message = super()._message(kind, correlation_id, subject, subject_incarnation)
         suspicions = [
-            (member, peer.incarnation, self.own_id) for member, peer in self.peers.items() if peer.incarnation
+            (member, peer.incarnation, self.proxy_number)
+            for member, peer in self.peers.items()
+            if peer.incarnation
         ]
-        sampled = self.rng.sample(suspicions, min(4, len(suspicions)))
+        sampled = self.random_generator.sample(suspicions, min(4, len(suspicions)))
         return message._replace(suspicions=tuple(number for suspicion in sampled for number in suspicion))
 
 
@@ -137,7 +139,7 @@
     for member in (1, 2, 3):
         simulation.kill({member})
         simulation.run(simulation.now + 15.0)
-        simulation.rise(member)
+        simulation.restart_killed(member)
         simulation.run(simulation.now + 20.0)
     return simulation
 
@@ -189,7 +191,7 @@
     assert elapsed_s is not None
     assert SUSPICION_TIMEOUT_S < elapsed_s <= bound * (1.0 if not loss else 2.0)
     for member in sorted(failed):
-        simulation.rise(member)
+        simulation.restart_killed(member)
     assert simulation.time_until_views_equal(NO_MEMBERS, 2.0 * fleet * ROUND_INTERVAL_S) is not None
 
 
@@ -228,7 +230,7 @@
             elif fault == 1 and member not in simulation.dead:
                 simulation.kill({member})
             elif fault == 2 and simulation.dead:
-                simulation.rise(min(simulation.dead))
+                simulation.restart_killed(min(simulation.dead))
             elif fault == 3:
                 simulation.isolate(
                     member, random_generator.choice(["in", "out", "both"]), random_generator.uniform(1.0, 9.0)
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -3,6 +3,8 @@
 import asyncio
 import json
 import os
+import re
+import shutil
 import subprocess
 import sys
 import time
@@ -28,7 +30,7 @@
 from calicofall.routing.policy import RoutingPolicy
 from calicofall.routing.router import Router
 from calicofall.testbed import scenario
-from calicofall.testbed.clients import Draw
+from calicofall.testbed.clients import TrafficPlan
 from calicofall.testbed.routing_simulation import RoutingSimulation
 from calicofall.testbed.runner import run_scenario
 from calicofall.testbed.server_models import CacheModel, OriginModel
@@ -123,7 +125,7 @@
     simulation.at(4000.0, lambda: setattr(simulation, "per_s", 900.0))
     simulation.at(6000.0, lambda: setattr(simulation, "per_s", 200.0))
     simulation.at(3000.0, lambda: setattr(caches[6], "slow", 12.0))
-    simulation.at(5000.0, simulation.renew, random_generator.randrange(4))
+    simulation.at(5000.0, simulation.restart_proxy, random_generator.randrange(4))
     simulation.run(seconds * 1000.0)
     for router in RecordingInMemory.instances:
         router.write_segments(simulation.now)
@@ -708,6 +710,20 @@
 }
 
 
+# The replayer of a version with a routing package.
+OWN_REPLAYER = """
+import sys
+import calicofall.recording
+
+def replay_here(names):
+    print("replayed by", __file__)
+    for name in names:
+        print("record", name)
+    print("recording", calicofall.recording.__file__)
+    sys.exit(5)
+"""
+
+
 def write_version(folder: Path, files: dict[str, str]) -> Path:
     """Writes the package of a version of the program and returns the folder."""
     for name, content in files.items():
@@ -754,6 +770,28 @@
     assert out.stderr.startswith("Error: that version is too old: ")
 
 
+def test_replay_with_a_router_that_lacks_a_name_runs_the_own_replayer_of_that_version(tmp_path: Path) -> None:
+    """This version's replayer cannot be imported with a router that has other names."""
+    version = tmp_path / "earlier"
+    shutil.copytree(ROOT / "calicofall", version / "calicofall", ignore=shutil.ignore_patterns("__pycache__"))
+    for module in (version / "calicofall" / "routing").glob("*.py"):
+        module.write_text(re.sub(r"\bUNCONSTRAINED\b", "EARLIER_UNCONSTRAINED", module.read_text()))
+    assert "EARLIER_UNCONSTRAINED" in (version / "calicofall" / "routing" / "endpoint.py").read_text()
+    write_version(version, {"cli/replay.py": OWN_REPLAYER})
+    file = tmp_path / "n.record"
+    file.write_bytes(record_simulated_fleet(seconds=5.0)[0]._segments[0])
+
+    out = replay_with(version, file)
+
+    assert out.stdout.splitlines() == [
+        f"replayed by {version / 'calicofall' / 'cli' / 'replay.py'}",
+        f"record {file}",
+        f"recording {version / 'calicofall' / 'recording' / '__init__.py'}",
+    ], out.stderr
+    assert out.stderr == ""
+    assert out.returncode == 5
+
+
 # Processes
 
 
@@ -779,8 +817,8 @@
         ],
     }
     verdict, _ = run_scenario(scenario.parse_scenario(scenario_settings, "recorded"), tmp_path / "out")
-    assert not verdict.void, (verdict.void, verdict.findings[:5])
-    assert not verdict.findings, (verdict.void, verdict.findings[:5])
+    assert not verdict.void_reason, (verdict.void_reason, verdict.findings[:5])
+    assert not verdict.findings, (verdict.void_reason, verdict.findings[:5])
     decisions = 0
     for number in range(6):
         files = [*(tmp_path / "out" / f"p{number}" / "record").glob("*.record")]
@@ -796,7 +834,7 @@
     replayed_scenario = scenario.parse_scenario(
         scenario_settings | {"traffic": {"record": str(traffic)}}, "again"
     )
-    drawn_requests = Draw(replayed_scenario).rpcs
+    drawn_requests = TrafficPlan(replayed_scenario).requests
     assert len(drawn_requests) > 20
     assert {method for _, method, *_ in drawn_requests} >= {"read", "save"}
     assert [key for *_, key, _ in drawn_requests] == [row[2] for row in json.loads(traffic.read_bytes())][
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -34,7 +34,7 @@
 from calicofall.startup.contention import ANSWER_TIMEOUT_S, MAX_SAMPLE_SIZE, ContentionEstimate, sample_size
 from calicofall.startup.discovery_schedule import MAX_BACKOFF_S, DiscoverySchedule
 from calicofall.startup.time_slots import TimeSlots
-from calicofall.testbed.checker import most_in_span
+from calicofall.testbed.checker import max_count_in_window
 from calicofall.testbed.startup_simulation import Span, StartupScenario, StartupSimulation
 
 # Time slots
@@ -53,7 +53,7 @@
             assert now - 1e-9 <= taken[-1] < now + proxies / rate + 1e-9
             now = taken[-1] + 0.5 / rate
     for span in (1.0, 2.0):
-        assert most_in_span(taken, span)[0] <= rate * span + 1
+        assert max_count_in_window(taken, span)[0] <= rate * span + 1
 
 
 def test_time_slots_with_clock_differences_exceed_the_rate_by_the_difference_only() -> None:
@@ -66,7 +66,7 @@
         TimeSlots(number, 200, rate, 0.0, 7_000.0 + random.uniform(0.0, difference_s)).next_slot_at(1.0)
         for number in range(200)
     ]
-    assert most_in_span(taken)[0] <= rate * (1.0 + 2.0 * difference_s) + 1
+    assert max_count_in_window(taken)[0] <= rate * (1.0 + 2.0 * difference_s) + 1
 
 
 def test_time_slot_of_a_stopped_process_is_expired() -> None:
@@ -149,7 +149,7 @@
 def test_discovery_schedule_spreads_first_backoffs_after_refusals() -> None:
     """Without the jitter, 200 proxies refused in one second retry in one second, again and again."""
     attempts = [DiscoverySchedule(Random(seed), 200).retry_at_after_refusal(0.0) for seed in range(200)]
-    assert most_in_span(attempts, 0.5)[0] < 50
+    assert max_count_in_window(attempts, 0.5)[0] < 50
     assert max(attempts) <= 5.5
 
 
@@ -239,8 +239,8 @@
     result = StartupSimulation(scenario).run()
     last_start_s = scenario.starts_within_s + scenario.stopped.end
     assert result.peak <= 1.5 * rate
-    assert len(result.lists) == proxies
-    assert max(result.lists) <= last_start_s + 1.3 * proxies / rate + ANSWER_TIMEOUT_S + 0.1
+    assert len(result.list_times) == proxies
+    assert max(result.list_times) <= last_start_s + 1.3 * proxies / rate + ANSWER_TIMEOUT_S + 0.1
 
 
 def test_restart_of_some_proxies_of_a_small_fleet_keeps_the_rate() -> None:
@@ -252,7 +252,7 @@
     scenarios = [StartupScenario(proxies=10, rate_per_s=3.0, seed=seed, starting=4) for seed in range(60)]
     results = [StartupSimulation(scenario).run() for scenario in scenarios]
     assert max(result.peak for result in results) <= 1.5 * 3
-    assert sum(asked_at < ANSWER_TIMEOUT_S for result in results for asked_at in result.asks) <= 20
+    assert sum(asked_at < ANSWER_TIMEOUT_S for result in results for asked_at in result.attempt_times) <= 20
 
 
 @pytest.mark.parametrize("starting", [1, 10, 40, 100, 210, 300])
@@ -264,9 +264,9 @@
     for seed in range(8):
         scenario = StartupScenario(proxies=300, rate_per_s=10.0, seed=seed, starting=starting)
         result = StartupSimulation(scenario).run()
-        assert len(result.lists) == starting
+        assert len(result.list_times) == starting
         peaks.append(result.peak)
-        last_lists_at.append(max(result.lists))
+        last_lists_at.append(max(result.list_times))
     assert sum(peaks) / 8 <= 15.0
     assert max(peaks) <= 20
     assert max(last_lists_at) <= (0.01 if starting == 1 else 1.3 * 300 / 10.0)
@@ -277,14 +277,14 @@
         scenario = StartupScenario(proxies=300, rate_per_s=10.0, seed=seed, service_silent=Span(0.0, 10.0))
         result = StartupSimulation(scenario).run()
         assert result.peak <= 15
-        assert max(result.lists) <= 10.0 + 1.3 * 30.0 + 3.0
+        assert max(result.list_times) <= 10.0 + 1.3 * 30.0 + 3.0
 
 
 def test_start_of_ten_thousand_proxies_keeps_the_bounds() -> None:
     result = StartupSimulation(StartupScenario(proxies=10_000, rate_per_s=100.0, seed=1)).run()
     assert result.peak <= 150
-    assert max(result.lists) <= 1.3 * 100.0
-    assert len(result.lists) == 10_000
+    assert max(result.list_times) <= 1.3 * 100.0
+    assert len(result.list_times) == 10_000
 
 
 def test_simulation_detects_injected_faults_in_slots_and_schedule() -> None:
@@ -309,7 +309,7 @@
 def test_time_slots_with_half_the_number_of_proxies_configured_double_the_rate_at_most() -> None:
     """Each number belongs to two proxies, so that the rate at the service doubles at most."""
     slots = [TimeSlots(number % 100, 100, 10.0, 0.0, 7_000.0).next_slot_at(1.0) for number in range(200)]
-    assert most_in_span(slots)[0] <= 2 * (10 + 1)
+    assert max_count_in_window(slots)[0] <= 2 * (10 + 1)
 
 
 # Peer messages
@@ -406,7 +406,7 @@
             now = quotas.take_slot("c1", 12345, now, now + 7_000.0)
             opened_at.append(now)
         assert quotas.max_connections == 4
-    assert most_in_span(opened_at)[0] <= 26
+    assert max_count_in_window(opened_at)[0] <= 26
     assert len(opened_at) > 240
 
 
