--- a/calicofall/proxy/server.py
+++ b/calicofall/proxy/server.py
@@ -527,7 +527,7 @@
         try:
             fields = parse_request_fields(parts, self.methods, self.tenants)
             if parts[2] in self.active_client_ids:  # an endpoint would take it for the request in flight
-                raise ValueError("the id of a request in flight")
+                raise ValueError("the id of an RPC in hand")
         except ValueError as error:
             reply.client.reject_command(reply, str(error))
             return
